--- a/packages/serving/bergamotsaddle_serving/_stage_worker.py
+++ b/packages/serving/bergamotsaddle_serving/_stage_worker.py
@@ -7,7 +7,7 @@
 
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.catalog import Batching, Target
-from bergamotsaddle_serving.peer_messages import Done
+from bergamotsaddle_serving.peer_messages import PieceOutcome
 from bergamotsaddle_serving.policy import Policy
 from bergamotsaddle_serving.result_room import ResultRoom
 from bergamotsaddle_serving.stage_queue import (
@@ -35,7 +35,7 @@
 
     def __init__(self, target: Target, batching: Batching) -> None:
         self.target = target
-        self.room = ResultRoom(batching.room_bytes, batching.keep_seconds)
+        self.room = ResultRoom(batching.memory_bytes, batching.ttl_seconds)
         self.pace = 1.0
         self.free_at = 0.0
         self.full_call_by = 0.0
@@ -87,7 +87,7 @@
         self.worker_by_life: dict[tuple[str, int], Worker] = {}
         self.sender_by_request: OrderedDict[str, Sender] = OrderedDict()
         self.running: set[PieceKey] = set()
-        self.done_by_key: OrderedDict[PieceKey, Done] = OrderedDict()
+        self.done_by_key: OrderedDict[PieceKey, PieceOutcome] = OrderedDict()
         self.cancelled: OrderedDict[str, None] = OrderedDict()
         self.news = Event()
         self.disowned_checks = 0
@@ -111,7 +111,7 @@
         self.sender_by_request[request] = sender
         _trim(self.sender_by_request)
 
-    def note_done(self, key: PieceKey, done: Done) -> None:
+    def note_done(self, key: PieceKey, done: PieceOutcome) -> None:
         """Keep a result, in case its datagram gets lost."""
         self.done_by_key[key] = done
         _trim(self.done_by_key)
--- a/packages/serving/bergamotsaddle_serving/attempt.py
+++ b/packages/serving/bergamotsaddle_serving/attempt.py
@@ -9,11 +9,11 @@
     Connection,
     ConnectionLostError,
     ConnectionPool,
-    IncomingHead,
+    RawResponseHead,
 )
 from bergamotsaddle_serving.context import Context
 from bergamotsaddle_serving.health import TargetState
-from bergamotsaddle_serving.messages import AnswerHead, Dialect, Dispatch, HttpCall
+from bergamotsaddle_serving.messages import Dialect, Dispatch, HttpCall, ResponseHead
 
 _MISDIRECTED = 421
 _SUCCESS = range(200, 300)
@@ -50,8 +50,8 @@
 class Reply(NamedTuple):
     """The head of a target's answer to this very request."""
 
-    head: IncomingHead
-    answer: AnswerHead
+    head: RawResponseHead
+    answer: ResponseHead
 
     @property
     def is_success(self) -> bool:
@@ -124,7 +124,7 @@
         headers = self._dialect.forward(context.head, dispatch, len(body))
         call = HttpCall(context.head.method, context.head.path, headers, body)
         try:
-            connection = self._pool.take(dispatch.target.address, limit=limit)
+            connection = self._pool.acquire(dispatch.target.address, limit=limit)
         except ConnectionLostError as error:
             self._state.fail(is_certain=True)
             raise NotRunError(error.reason) from error
@@ -142,7 +142,7 @@
 
     def _await_head(
         self, connection: Connection, limit: float, most: float
-    ) -> IncomingHead:
+    ) -> RawResponseHead:
         ends_at = now() + most
         while True:
             asked_at = now()
@@ -160,7 +160,7 @@
             UnknownRunError: If it is not whole.
         """
         try:
-            body = self._connection.read_body(limit=limit, most=most)
+            body = self._connection.read_body(limit=limit, max_bytes=most)
         except ConnectionLostError as error:
             self._state.fail(is_certain=False)
             raise UnknownRunError(error.reason) from error
@@ -183,9 +183,9 @@
             self._give_back()
         return data
 
-    def _check(self, head: IncomingHead) -> Reply:
-        answer = self._dialect.read_answer(head.headers)
-        self._keep = answer.keep_seconds
+    def _check(self, head: RawResponseHead) -> Reply:
+        answer = self._dialect.read_response(head.headers)
+        self._keep = answer.keep_alive_seconds
         self._state.note_load(answer.load)
         if answer.limit is not None:
             self._state.note_limit(answer.limit)
@@ -197,7 +197,7 @@
             # which bytes are whose can't be told any more on this connection.
             self._state.fail(is_certain=False)
             raise UnknownRunError("crossed")
-        if answer.is_encoded or (head.status in _SUCCESS and not answer.is_sealed):
+        if answer.is_encoded or (head.status in _SUCCESS and not answer.is_signed):
             self._state.fail(is_certain=False)
             raise UnknownRunError("unsigned")
         # A refusal may leave the limit out; only an answer that ran ends it.
@@ -206,7 +206,7 @@
 
     def _drain(self) -> None:
         try:
-            self._connection.read_body(limit=0.1, most=65_536)
+            self._connection.read_body(limit=0.1, max_bytes=65_536)
         except ConnectionLostError:
             # The refusal's body is of no use; only the connection is lost with it.
             return
@@ -214,4 +214,4 @@
 
     def _give_back(self) -> None:
         connection, self._connection = self._connection, None
-        self._pool.give(connection, self._keep)
+        self._pool.release(connection, self._keep)
--- a/packages/serving/bergamotsaddle_serving/caller.py
+++ b/packages/serving/bergamotsaddle_serving/caller.py
@@ -58,7 +58,7 @@
     path: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    began_at: float
+    started_at: float
 
 
 class CallerConnection:
@@ -98,15 +98,15 @@
         if not self._ahead and not self._wait_first_byte():
             return None
         self.is_idle = False
-        began_at = now()
+        started_at = now()
         try:
-            request = self._read_request(began_at)
+            request = self._read_request(started_at)
         except h11.RemoteProtocolError as error:
             raise RequestError(ErrorKind.BAD_REQUEST, "malformed request") from error
         self._ahead = bytes(self._h11.trailing_data[0])
         return request
 
-    def serve(self, work: Callable[[], None]) -> None:
+    def run_while_connected(self, work: Callable[[], None]) -> None:
         """Do the work for a request, but stop it when the caller leaves.
 
         Raises:
@@ -118,7 +118,7 @@
         finally:
             watcher.kill()
 
-    def answer(self, status: int, headers: RawHeaders, body: bytes) -> None:
+    def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
         """Send a whole answer."""
         length = [(b"content-length", b"%d" % len(body))]
         self.start(status, [*headers, *length])
@@ -159,7 +159,7 @@
             self._socket.shutdown(socket.SHUT_WR)
         self._socket.close()
 
-    def end_idle(self) -> None:
+    def close_idle(self) -> None:
         """Have the green thread that waits for a request close the connection.
 
         Closed from outside, that thread would stand until something else used the
@@ -187,7 +187,7 @@
             return False
         return bool(self._ahead)
 
-    def _read_request(self, began_at: float) -> RawRequest:
+    def _read_request(self, started_at: float) -> RawRequest:
         limits = self._limits()
         try:
             with eventlet.Timeout(limits.head_seconds):
@@ -208,7 +208,7 @@
         except eventlet.Timeout as error:
             raise RequestError(ErrorKind.TOO_SLOW, "the body took too long") from error
         headers = list(event.headers)
-        return RawRequest(event.method, event.target, headers, body, began_at)
+        return RawRequest(event.method, event.target, headers, body, started_at)
 
     def _read_head(self, limits: CallerLimits) -> tuple[bytes, bytes]:
         data = (
--- a/packages/serving/bergamotsaddle_serving/catalog.py
+++ b/packages/serving/bergamotsaddle_serving/catalog.py
@@ -75,7 +75,7 @@
     event_gap: float = 0.4
 
     @property
-    def patience(self) -> float:
+    def max_wait(self) -> float:
         """Seconds without an event after which a caller gives up a stream."""
         return max(
             _PATIENCE_S,
@@ -105,8 +105,8 @@
     size: int
     call_seconds: float
     piece_seconds: float
-    room_bytes: float
-    keep_seconds: float
+    memory_bytes: float
+    ttl_seconds: float
 
     def seconds(self, pieces: int) -> float:
         """Expected time of a call with so many pieces."""
@@ -252,6 +252,6 @@
     software: str = ""
 
     @property
-    def life(self) -> tuple[str, int]:
+    def incarnation(self) -> tuple[str, int]:
         """What tells this life of the target from any other one."""
         return self.id, self.started_ms
--- a/packages/serving/bergamotsaddle_serving/client.py
+++ b/packages/serving/bergamotsaddle_serving/client.py
@@ -39,10 +39,10 @@
 _SEND_AHEAD = 16_384
 
 # Reasons of a connection that ended before its answer did.
-BROKEN_OFF = frozenset(("closed", "cut", "reset", "send"))
+BROKEN_CONNECTION_REASONS = frozenset(("closed", "cut", "reset", "send"))
 
 # Headers that concern one connection only and are not passed on.
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -70,7 +70,7 @@
         self.is_unsent = is_unsent
 
 
-class IncomingHead(NamedTuple):
+class RawResponseHead(NamedTuple):
     """Status and headers of an answer, header names in lower case."""
 
     status: int
@@ -90,7 +90,7 @@
     def __init__(self, address: Address, *, limit: float = CONNECT_LIMIT_S) -> None:
         self.address = address
         self.idle_since = now()
-        self.keep_seconds = _DEFAULT_KEEP_S
+        self.keep_alive_seconds = _DEFAULT_KEEP_S
         self._h11 = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=_MAX_ANSWER_HEAD
         )
@@ -124,7 +124,7 @@
         Bytes that wait on an idle connection are a close, or a late second answer
         that would be taken for the next one.
         """
-        if now() - self.idle_since > self.keep_seconds - _KEEP_MARGIN_S:
+        if now() - self.idle_since > self.keep_alive_seconds - _KEEP_MARGIN_S:
             return False
         poll = _original_select.poll()
         poll.register(self._socket.fileno(), _original_select.POLLIN)
@@ -166,7 +166,7 @@
             return False
         return True
 
-    def read_head(self, *, limit: float) -> IncomingHead:
+    def read_head(self, *, limit: float) -> RawResponseHead:
         """Wait for the head of the answer.
 
         Raises:
@@ -177,14 +177,14 @@
             event = self._next(limit)
         if not isinstance(event, h11.Response):
             raise ConnectionLostError("no_head")
-        return IncomingHead(event.status_code, list(event.headers))
+        return RawResponseHead(event.status_code, list(event.headers))
 
-    def read_body(self, *, limit: float, most: int) -> bytes:
+    def read_body(self, *, limit: float, max_bytes: int) -> bytes:
         """Read the whole body of the answer.
 
         Args:
             limit: Seconds for all of it.
-            most: Bytes that it may have.
+            max_bytes: Bytes that it may have.
 
         Raises:
             ConnectionLostError: If it is not whole.
@@ -195,7 +195,7 @@
         while (data := self.read_some(limit=ends_at - now())) is not None:
             parts.append(data)
             size += len(data)
-            if size > most:
+            if size > max_bytes:
                 raise ConnectionLostError("too_long")
         return b"".join(parts)
 
@@ -213,14 +213,14 @@
         raise ConnectionLostError("cut")
 
     def exchange(
-        self, call: HttpCall, *, limit: float, most: int
-    ) -> tuple[IncomingHead, bytes]:
+        self, call: HttpCall, *, limit: float, max_bytes: int
+    ) -> tuple[RawResponseHead, bytes]:
         """Send a call and read its whole answer; a failure closes the connection.
 
         Args:
             call: The call.
             limit: Seconds for each step.
-            most: Bytes that the body may have.
+            max_bytes: Bytes that the body may have.
 
         Raises:
             ConnectionLostError: If there is no whole answer in time.
@@ -228,12 +228,12 @@
         try:
             self.send(call, limit=limit)
             head = self.read_head(limit=limit)
-            return head, self.read_body(limit=limit, most=most)
+            return head, self.read_body(limit=limit, max_bytes=max_bytes)
         except BaseException:
             self.close()
             raise
 
-    def can_be_kept(self) -> bool:
+    def prepare_next(self) -> bool:
         """Make ready for another request; False if the connection can't take one."""
         sender = self._sender
         if sender is not None and not (sender.dead and sender.wait()):
@@ -285,7 +285,9 @@
         self._idle_by_address: dict[Address, list[Connection]] = {}
         self.opened = 0
 
-    def take(self, address: Address, *, limit: float = CONNECT_LIMIT_S) -> Connection:
+    def acquire(
+        self, address: Address, *, limit: float = CONNECT_LIMIT_S
+    ) -> Connection:
         """Take an idle connection that is still good, or make one.
 
         Raises:
@@ -300,11 +302,11 @@
         self.opened += 1
         return Connection(address, limit=min(limit, CONNECT_LIMIT_S))
 
-    def give(self, connection: Connection, keep_seconds: float | None) -> None:
+    def release(self, connection: Connection, keep_alive_seconds: float | None) -> None:
         """Take back a connection whose answer has been read to its end."""
-        if keep_seconds is not None:
-            connection.keep_seconds = keep_seconds
-        if not connection.can_be_kept():
+        if keep_alive_seconds is not None:
+            connection.keep_alive_seconds = keep_alive_seconds
+        if not connection.prepare_next():
             connection.close()
             return
         self._idle_by_address.setdefault(connection.address, []).append(connection)
@@ -315,7 +317,7 @@
         A connection that is made is kept for the next request.
         """
         try:
-            connection = self.take(address, limit=_LISTENING_LIMIT_S)
+            connection = self.acquire(address, limit=_LISTENING_LIMIT_S)
         except ConnectionLostError as error:
             return error.reason == "refused"
         self._idle_by_address.setdefault(address, []).append(connection)
@@ -331,8 +333,10 @@
                 del self._idle_by_address[address]
 
 
-def end_to_end(headers: Sequence[tuple[bytes, bytes]]) -> Iterator[tuple[bytes, bytes]]:
+def end_to_end_headers(
+    headers: Sequence[tuple[bytes, bytes]],
+) -> Iterator[tuple[bytes, bytes]]:
     """Yield the headers of an answer that concern more than one connection."""
     for name, value in headers:
-        if name not in ONE_CONNECTION:
+        if name not in HOP_BY_HOP_HEADERS:
             yield name, value
--- a/packages/serving/bergamotsaddle_serving/context.py
+++ b/packages/serving/bergamotsaddle_serving/context.py
@@ -51,7 +51,7 @@
     @property
     def first_by(self) -> float:
         """When the caller gives up for want of a first event, on the hub's clock."""
-        return min(self.ends_at, self.began_at + self.route.patience)
+        return min(self.ends_at, self.began_at + self.route.max_wait)
 
     @property
     def remaining(self) -> float:
--- a/packages/serving/bergamotsaddle_serving/follower.py
+++ b/packages/serving/bergamotsaddle_serving/follower.py
@@ -8,7 +8,7 @@
 
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.client import Connection, ConnectionLostError
-from bergamotsaddle_serving.messages import Dialect, HttpCall, Page
+from bergamotsaddle_serving.messages import Dialect, HttpCall, StorePage
 from bergamotsaddle_serving.settings import ServingSettings
 from bergamotsaddle_serving.view import View
 
@@ -18,7 +18,7 @@
 # An answer takes milliseconds; after this the connection counts as silent.
 _ANSWER_LIMIT_S = 0.8
 # After this a watch has been answered or has failed.
-LONGEST_WATCH_S = WATCH_WAIT_S + _ANSWER_LIMIT_S
+MAX_WATCH_S = WATCH_WAIT_S + _ANSWER_LIMIT_S
 # The first watch after others were followed is short, since it has to confirm the view.
 _FIRST_WATCH_WAIT_S = 0.05
 _PAUSED_S = 2.0
@@ -97,7 +97,7 @@
             self._backoff = min(_LONGEST_BACKOFF_S, self._backoff * _BACKOFF_FACTOR)
 
     def _step(self) -> None:
-        if self._must_list or not self._view.has_listed:
+        if self._must_list or not self._view.has_snapshot:
             self._list()
             return
         asked_at = now()
@@ -130,11 +130,11 @@
         self._view.replace(entries, first.revision, source="store")
         self._must_list = False
 
-    def _page(self, after: str) -> Page:
+    def _page(self, after: str) -> StorePage:
         status, body = self._call(self._dialect.list_entries(after), _ANSWER_LIMIT_S)
         return self._read(status, body)
 
-    def _read(self, status: int, body: bytes) -> Page:
+    def _read(self, status: int, body: bytes) -> StorePage:
         if status != _OK:
             raise _StoreError(f"status {status}")
         return self._dialect.read_page(body)
@@ -147,8 +147,8 @@
                 connection.close()
             connection = Connection(self._settings.store.address)
         self.calls += 1
-        head, body = connection.exchange(call, limit=limit, most=_MAX_PAGE_BYTES)
-        if head.status in (_OK, _GONE) and connection.can_be_kept():
+        head, body = connection.exchange(call, limit=limit, max_bytes=_MAX_PAGE_BYTES)
+        if head.status in (_OK, _GONE) and connection.prepare_next():
             self._connection = connection
         else:
             connection.close()
@@ -166,5 +166,5 @@
         if not self.is_lost:
             return
         self.is_lost = False
-        self._view.store_back_at = now()
+        self._view.store_regained_at = now()
         self._logger.info("store_regained", revision=self._view.revision)
--- a/packages/serving/bergamotsaddle_serving/gossip_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/gossip_exchange.py
@@ -8,7 +8,7 @@
 
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.gossip import Gossip
-from bergamotsaddle_serving.peer_messages import Fact, Hello, News
+from bergamotsaddle_serving.peer_messages import Fact, GossipUpdate, Heartbeat
 from bergamotsaddle_serving.peers import Peers
 
 # They fit into one packet.
@@ -33,7 +33,7 @@
         pause: Seconds until the time after that.
     """
 
-    life: str
+    incarnation: str
     tell_at: float
     pause: float
 
@@ -55,11 +55,11 @@
         self._peers = peers
         self._fresh: list[Fact] = []
         self._differing_by_peer: dict[str, _Differing] = {}
-        peers.on(News, lambda message, _: gossip.hear(message.facts))
+        peers.set_handler(GossipUpdate, lambda message, _: gossip.hear(message.facts))
         peers.own_digest = lambda: gossip.digest
-        peers.on_hello = self._compare
+        peers.on_heartbeat = self._compare
 
-    def tell(self, facts: Sequence[Fact | None]) -> None:
+    def publish(self, facts: Sequence[Fact | None]) -> None:
         """Tell all that live what is new.
 
         Args:
@@ -75,15 +75,15 @@
         for peer in self._peers.alive():
             self._send(peer.contact.id, facts)
 
-    def _compare(self, hello: Hello) -> None:
+    def _compare(self, hello: Heartbeat) -> None:
         peer_id = hello.sender.id
         if hello.digest == self._gossip.digest:
             self._differing_by_peer.pop(peer_id, None)
             return
         moment = now()
         known = self._differing_by_peer.get(peer_id)
-        if known is None or known.life != hello.life:
-            known = _Differing(hello.life, moment, _FIRST_PAUSE_S)
+        if known is None or known.incarnation != hello.incarnation:
+            known = _Differing(hello.incarnation, moment, _FIRST_PAUSE_S)
         if known.tell_at > moment:
             return
         longer = min(_LONGEST_PAUSE_S, 2.0 * known.pause)
@@ -100,4 +100,4 @@
     def _send(self, peer_id: str, facts: Sequence[Fact]) -> None:
         for begin in range(0, len(facts), _FACTS_A_DATAGRAM):
             part = list(facts[begin : begin + _FACTS_A_DATAGRAM])
-            self._peers.send(peer_id, News(part))
+            self._peers.send(peer_id, GossipUpdate(part))
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -153,7 +153,7 @@
         return caller.prepare_next()
 
     def _serve(self, caller: CallerConnection, raw: RawRequest) -> None:
-        began_at = raw.began_at
+        began_at = raw.started_at
         request_id = ""
         outcome: str = _WHOLE
         context = None
@@ -189,7 +189,7 @@
         worker = eventlet.getcurrent()
         self._workers.add(worker)
         try:
-            caller.serve(work)
+            caller.run_while_connected(work)
         except _OutOfTimeError as error:
             raise context.give_up(ErrorKind.DEADLINE_PASSED, "out of time") from error
         except _StoppingError as error:
@@ -202,7 +202,7 @@
             self._streams.serve(context, caller)
             return
         answer = self._plain.serve(context)
-        caller.answer(answer.status, answer.headers, answer.body)
+        caller.respond(answer.status, answer.headers, answer.body)
 
     def _context(self, head: RequestHead, raw: RawRequest) -> Context:
         configuration = self._view.configuration
@@ -220,8 +220,8 @@
             route=route,
             service=service,
             team=team,
-            began_at=raw.began_at,
-            ends_at=raw.began_at + min(head.deadline, route.timeout),
+            began_at=raw.started_at,
+            ends_at=raw.started_at + min(head.deadline, route.timeout),
             version=configuration.version,
             urgency=self._urgency(configuration, route, team),
             progress=Progress(),
@@ -286,7 +286,7 @@
             caller.must_close = True
         body = msgspec.json.encode(Refusal(error.kind, error.ran, error.detail))
         try:
-            caller.answer(error.status, headers, body)
+            caller.respond(error.status, headers, body)
         except CallerLeftError:
             # There is nobody to tell any more; the request's own line says the rest.
             caller.reset()
--- a/packages/serving/bergamotsaddle_serving/health.py
+++ b/packages/serving/bergamotsaddle_serving/health.py
@@ -93,9 +93,9 @@
 
     def of(self, target: Target) -> TargetState:
         """The state of a target's life."""
-        state = self._state_by_life.get(target.life)
+        state = self._state_by_life.get(target.incarnation)
         if state is None:
-            state = self._state_by_life[target.life] = TargetState(
+            state = self._state_by_life[target.incarnation] = TargetState(
                 target, self._on_limit
             )
         state.target = target
--- a/packages/serving/bergamotsaddle_serving/messages.py
+++ b/packages/serving/bergamotsaddle_serving/messages.py
@@ -79,7 +79,7 @@
     slots: int
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """What the headers of a target's answer say.
 
     Attributes:
@@ -93,10 +93,10 @@
     """
 
     request_id: str
-    is_sealed: bool
+    is_signed: bool
     not_run: bool
     load: TargetLoad | None
-    keep_seconds: float | None
+    keep_alive_seconds: float | None
     is_encoded: bool
     limit: float | None = None
 
@@ -121,13 +121,13 @@
     remaining: float
 
 
-class Unmade(StrEnum):
+class PieceFailure(StrEnum):
     """Why a piece has no result; the first four are said by targets."""
 
     ERROR = "error"
     GONE = "gone"
     LATE = "late"
-    NO_ROOM = "room"
+    NO_MEMORY = "room"
     FAILED = "failed"
     MOVED = "moved"
     NO_TARGET = "no_target"
@@ -137,10 +137,10 @@
     """How one piece ended: a handle to its result, or why there is none."""
 
     handle: str
-    reason: Unmade | None = None
+    reason: PieceFailure | None = None
 
 
-class Entry(NamedTuple):
+class StoreEntry(NamedTuple):
     """One item of the platform's store: a target, an evacuation or the configuration.
 
     Attributes:
@@ -154,7 +154,7 @@
     value: bytes | None
 
 
-class Page(NamedTuple):
+class StorePage(NamedTuple):
     """A page of items, or of changes.
 
     Attributes:
@@ -163,7 +163,7 @@
         has_more: Whether more pages follow.
     """
 
-    entries: list[Entry]
+    entries: list[StoreEntry]
     revision: int
     has_more: bool = False
 
@@ -197,7 +197,7 @@
     def forward(self, head: RequestHead, dispatch: Dispatch, size: int) -> RawHeaders:
         """Headers of the request as a target gets it."""
 
-    def read_answer(self, headers: Sequence[tuple[bytes, bytes]]) -> AnswerHead:
+    def read_response(self, headers: Sequence[tuple[bytes, bytes]]) -> ResponseHead:
         """Decode the headers of a target's answer."""
 
     def run_pieces(self, pieces: Sequence[Piece], target: Target) -> HttpCall:
@@ -209,17 +209,17 @@
     def release_results(self, handles: Sequence[str], target: Target) -> HttpCall:
         """Make the call that gives up results."""
 
-    def ask_room(self, target: Target) -> HttpCall:
+    def query_free_memory(self, target: Target) -> HttpCall:
         """Make the call that asks a stage target for its free room."""
 
-    def read_room(self, body: bytes) -> float:
+    def read_free_memory(self, body: bytes) -> float:
         """Decode its answer to the bytes that are free at most.
 
         Raises:
             ValueError: If it is none.
         """
 
-    def maker(self, handle: str) -> Address:
+    def result_address(self, handle: str) -> Address:
         """Address of the target that holds a result."""
 
     def list_entries(self, after: str) -> HttpCall:
@@ -228,11 +228,11 @@
     def watch_entries(self, after: int, wait: float) -> HttpCall:
         """Make the call that waits for changes after a revision."""
 
-    def read_page(self, body: bytes) -> Page:
+    def read_page(self, body: bytes) -> StorePage:
         """Decode a page; raises ValueError if it is none."""
 
     def target_id(self, key: str) -> str | None:
         """Id of the target that an entry of the store tells of, None if it is none."""
 
-    def decode(self, entry: Entry) -> Decoded | None:
+    def decode(self, entry: StoreEntry) -> Decoded | None:
         """Decode an item; None if it is of no concern, ValueError if malformed."""
--- a/packages/serving/bergamotsaddle_serving/metrics.py
+++ b/packages/serving/bergamotsaddle_serving/metrics.py
@@ -56,7 +56,7 @@
         self._requests[route, outcome] += 1
         self._durations_by_route.setdefault(route, _Durations()).add(seconds)
 
-    def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
         """Show a figure that is read whenever the page is."""
         self._gauges.append(_Gauge(name, text, read))
 
--- a/packages/serving/bergamotsaddle_serving/named_limits.py
+++ b/packages/serving/bergamotsaddle_serving/named_limits.py
@@ -78,7 +78,7 @@
 
 
 def _key(target: Target) -> str:
-    return _name(*target.life)
+    return _name(*target.incarnation)
 
 
 def _name(target_id: str, started_ms: int) -> str:
--- a/packages/serving/bergamotsaddle_serving/peer_messages.py
+++ b/packages/serving/bergamotsaddle_serving/peer_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from bergamotsaddle_serving.messages import Unmade
+from bergamotsaddle_serving.messages import PieceFailure
 
 
 class Message(msgspec.Struct, tag=True, array_like=True, frozen=True):
@@ -17,7 +17,7 @@
     host: str
 
 
-class Hello(Message):
+class Heartbeat(Message, tag="Hello"):
     """A heartbeat.
 
     Attributes:
@@ -39,16 +39,16 @@
     """
 
     sender: Contact
-    life: str
-    takes_work: bool
+    incarnation: str
+    accepts_work: bool
     revision: int
     loads: dict[str, list[float]]
-    coming: list[tuple[str, str, list[int]]]
+    pending: list[tuple[str, str, list[int]]]
     running: dict[str, int]
-    reading: dict[str, int]
-    strength: float
+    prefill_tokens: dict[str, int]
+    cores: float
     contacts: list[Contact]
-    missed: list[str] = []
+    unresponsive: list[str] = []
     digest: int = 0
 
 
@@ -68,17 +68,17 @@
     age: float
 
 
-class News(Message):
+class GossipUpdate(Message, tag="News"):
     """Facts that the receiver may not know."""
 
     facts: list[Fact]
 
 
-class Inquiry(Message):
+class HeartbeatRequest(Message, tag="Inquiry"):
     """Asks for a heartbeat at once."""
 
 
-class RateAsk(Message):
+class RateRequest(Message, tag="RateAsk"):
     """Asks the owner of a shared rate for a permit.
 
     Attributes:
@@ -96,7 +96,7 @@
     urgency: int
 
 
-class RateAnswer(Message):
+class RateResponse(Message, tag="RateAnswer"):
     """The owner's answer.
 
     Attributes:
@@ -141,14 +141,14 @@
     key: str
     inputs: list[str]
     urgency: int
-    has_begun: bool
+    has_started: bool
     result_bytes: int
     input_bytes: int
     zone: str
     objective: float
     remaining: float
     round: int
-    work: str = ""
+    fingerprint: str = ""
 
 
 class Accepted(Message):
@@ -171,12 +171,12 @@
     load: list[float]
 
 
-class Done(msgspec.Struct, array_like=True, frozen=True):
+class PieceOutcome(msgspec.Struct, array_like=True, frozen=True):
     """How one piece ended: a handle to its result, or why there is none."""
 
     number: int
     handle: str
-    reason: Unmade | None = None
+    reason: PieceFailure | None = None
 
 
 class Results(Message):
@@ -185,7 +185,7 @@
     request: str
     stage: int
     round: int
-    done: list[Done]
+    done: list[PieceOutcome]
 
 
 class Started(Message):
@@ -211,11 +211,11 @@
 
 
 Datagram = (
-    Hello
-    | News
-    | Inquiry
-    | RateAsk
-    | RateAnswer
+    Heartbeat
+    | GossipUpdate
+    | HeartbeatRequest
+    | RateRequest
+    | RateResponse
     | Submit
     | Accepted
     | Started
--- a/packages/serving/bergamotsaddle_serving/peers.py
+++ b/packages/serving/bergamotsaddle_serving/peers.py
@@ -15,8 +15,8 @@
 from bergamotsaddle_serving.peer_messages import (
     Contact,
     Datagram,
-    Hello,
-    Inquiry,
+    Heartbeat,
+    HeartbeatRequest,
     Message,
     decode,
     encode,
@@ -26,7 +26,7 @@
 from bergamotsaddle_serving.settings import ServingSettings
 from bergamotsaddle_serving.target_totals import TargetTotals
 
-HELLO_INTERVAL_S = 0.2
+HEARTBEAT_INTERVAL_S = 0.2
 # Heartbeats may get lost or be late; after this many missing ones in a row the peer
 # counts as gone.
 _MISSED_HELLOS = 4
@@ -63,23 +63,23 @@
 
     def __init__(self, contact: Contact) -> None:
         self.contact = contact
-        self.life = ""
-        self.takes_work = False
+        self.incarnation = ""
+        self.accepts_work = False
         self.revision = 0
         self.loads: dict[str, list[float]] = {}
-        self.coming: list[tuple[str, str, list[int]]] = []
+        self.pending: list[tuple[str, str, list[int]]] = []
         self.running: dict[str, int] = {}
-        self.reading: dict[str, int] = {}
-        self.strength = 0.0
-        self.was_greeted = False
-        self.heard_at = float("-inf")
-        self.known_at = now()
+        self.prefill_tokens: dict[str, int] = {}
+        self.cores = 0.0
+        self.was_contacted = False
+        self.last_seen_at = float("-inf")
+        self.added_at = now()
         self.suspected_at = float("-inf")
 
     def is_suspect(self) -> bool:
         """Tell whether it left something unacknowledged and was not heard since."""
         is_fresh = now() - self.suspected_at < _SUSPECT_S
-        return is_fresh or self.heard_at < self.suspected_at
+        return is_fresh or self.last_seen_at < self.suspected_at
 
 
 class Peers:
@@ -91,27 +91,29 @@
         logger: Gets a line when a peer is lost or found.
     """
 
-    def __init__(self, settings: ServingSettings, life: str, logger: Any) -> None:
+    def __init__(
+        self, settings: ServingSettings, incarnation: str, logger: Any
+    ) -> None:
         instance = settings.instance
         self.own = Contact(instance.id, instance.zone, instance.host)
-        self.life = life
+        self.incarnation = incarnation
         self._takes_work = False
         self._region_by_zone = settings.zones.region_by_zone
         self.by_id: dict[str, Peer] = {}
         self.own_loads: Callable[[], dict[str, list[float]]] = dict
-        self.own_coming: Callable[[], list[tuple[str, str, list[int]]]] = list
+        self.own_pending: Callable[[], list[tuple[str, str, list[int]]]] = list
         self.own_running: Callable[[], dict[str, int]] = dict
-        self.own_reading: Callable[[], dict[str, int]] = dict
+        self.own_prefill_tokens: Callable[[], dict[str, int]] = dict
         self.own_revision: Callable[[], int] = lambda: 0
         self.own_digest: Callable[[], int] = lambda: 0
-        self.on_hello: Callable[[Hello], None] = lambda hello: None
-        self.is_cut_off: Callable[[str], bool] = lambda zone: False
+        self.on_heartbeat: Callable[[Heartbeat], None] = lambda hello: None
+        self.is_zone_unreachable: Callable[[str], bool] = lambda zone: False
         self._handlers: dict[type, Handler] = {
-            Hello: self._hear,
-            Inquiry: self._answer_inquiry,
+            Heartbeat: self._handle_heartbeat,
+            HeartbeatRequest: self._answer_inquiry,
         }
         self._logger = logger
-        self._strength = settings.capacity.strength
+        self._strength = settings.capacity.cores
         is_picked = settings.policy.has(Mechanism.STRONG_OWNERS)
         self._least_part = _STRONG_PART if is_picked else 0.0
         self._port = settings.listen.peer_port
@@ -122,31 +124,33 @@
         self._turn = 0
         self._greetings = Greetings()
         self._detector = FailureDetector(
-            lambda peer_id: self.send(peer_id, Inquiry()), self._heard_at, self.suspect
+            lambda peer_id: self.send(peer_id, HeartbeatRequest()),
+            self._heard_at,
+            self.suspect,
         )
         self.received = 0
         self.sent = 0
         self._socket = DatagramSocket(instance.host, self._port)
 
-    def on(self, kind: type, handler: Handler) -> None:
+    def set_handler(self, kind: type, handler: Handler) -> None:
         """Have a function called for each datagram of a kind."""
         self._handlers[kind] = handler
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether this instance takes work for others."""
         return self._takes_work
 
-    @takes_work.setter
-    def takes_work(self, value: bool) -> None:
+    @accepts_work.setter
+    def accepts_work(self, value: bool) -> None:
         if value == self._takes_work:
             return
         self._takes_work = value
-        self.forget_roster()
+        self.invalidate_roster()
         if self._may_own():
             # Whoever learnt of it a round later would ask another owner.
             for peer in self.by_id.values():
-                peer.was_greeted = False
+                peer.was_contacted = False
 
     def roster(self) -> Roster:
         """The instances that live now, or did a moment ago."""
@@ -156,14 +160,14 @@
             self._roster_at = moment
         return self._roster
 
-    def forget_roster(self) -> None:
+    def invalidate_roster(self) -> None:
         """Have the next question answered by what is known then."""
         self._roster = None
 
     def alive(self) -> list[Peer]:
         """Peers that were heard lately."""
         since = self._heard_since()
-        return [p for p in self.by_id.values() if p.heard_at > since]
+        return [p for p in self.by_id.values() if p.last_seen_at > since]
 
     def id_of(self, host: str) -> str | None:
         """Id of the instance at an IP number."""
@@ -187,32 +191,32 @@
         """What all other instances have at each target, as they told lately."""
         return self.roster().totals
 
-    def inhabited(self) -> set[str]:
+    def active_zones(self) -> set[str]:
         """Zones in which an instance takes work, this one's own zone among them."""
         return self.roster().inhabited | {self.own.zone}
 
-    def zone_heard_at(self, zone: str) -> float:
+    def zone_last_seen_at(self, zone: str) -> float:
         """When any instance of a zone was heard last."""
         return self._heard_at_by_zone.get(zone, float("-inf"))
 
-    def note_load(self, peer_id: str, service: str, load: list[float]) -> None:
+    def record_load(self, peer_id: str, service: str, load: list[float]) -> None:
         """Note what a peer tells of a queue of its besides its heartbeats."""
         self.by_id[peer_id].loads[service] = load
 
-    def inquire(self, zone: str) -> None:
+    def request_heartbeat(self, zone: str) -> None:
         """Ask an instance of a zone for a heartbeat at once."""
         inside = [p for p in self.by_id.values() if p.contact.zone == zone]
         if inside:
-            self.send(random.choice(inside).contact.id, Inquiry())
+            self.send(random.choice(inside).contact.id, HeartbeatRequest())
 
-    def life_of(self, peer_id: str) -> str | None:
+    def incarnation_of(self, peer_id: str) -> str | None:
         """The life of an instance's process, None if it was not heard lately."""
         if peer_id == self.own.id:
-            return self.life
+            return self.incarnation
         peer = self.by_id.get(peer_id)
         if peer is None or not self._is_heard(peer):
             return None
-        return peer.life
+        return peer.incarnation
 
     def owners(self, scope: str) -> list[str]:
         """Instances that can own a queue of a zone or region."""
@@ -223,7 +227,7 @@
         peer = self.by_id.get(peer_id)
         if peer is not None:
             peer.suspected_at = now()
-            self.forget_roster()
+            self.invalidate_roster()
 
     def verify(self, peer_id: str) -> None:
         """Find out in the background whether a peer lives that should have answered."""
@@ -233,7 +237,7 @@
         """Instances known of late, this one among them, dead ones too."""
         return len(self.by_id) + 1
 
-    def heard_part(self) -> float:
+    def reachable_fraction(self) -> float:
         """Which part of all instances that are known lives, this one among them."""
         return (len(self.alive()) + 1) / self.size()
 
@@ -259,10 +263,10 @@
     def run(self) -> None:
         """Send heartbeats for ever."""
         while True:
-            self.greet()
-            eventlet.sleep(HELLO_INTERVAL_S)
+            self.send_heartbeats()
+            eventlet.sleep(HEARTBEAT_INTERVAL_S)
 
-    def greet(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send one round of heartbeats."""
         self._turn += 1
         self._forget_silent()
@@ -277,11 +281,11 @@
         while True:
             try:
                 for data, address in self._socket.read():
-                    self._take(data, address)
+                    self._handle_datagram(data, address)
             except OSError as error:
                 self._logger.info("datagram_error", reason=str(error))
 
-    def _take(self, data: bytes, address: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, address: tuple[str, int]) -> None:
         self.received += 1
         try:
             message = decode(data)
@@ -295,21 +299,21 @@
         if handler is not None:
             handler(message, address)
 
-    def _hello(self, most_contacts: int = _CONTACTS_TOLD) -> Hello:
+    def _hello(self, most_contacts: int = _CONTACTS_TOLD) -> Heartbeat:
         alive = self.alive()
         told = random.sample(alive, min(most_contacts, len(alive)))
-        return Hello(
+        return Heartbeat(
             sender=self.own,
-            life=self.life,
-            takes_work=self.takes_work,
+            incarnation=self.incarnation,
+            accepts_work=self.accepts_work,
             revision=self.own_revision(),
             loads=self.own_loads(),
-            coming=self.own_coming(),
+            pending=self.own_pending(),
             running=self.own_running(),
-            reading=self.own_reading(),
-            strength=self._strength,
+            prefill_tokens=self.own_prefill_tokens(),
+            cores=self._strength,
             contacts=[peer.contact for peer in told],
-            missed=self._missed(),
+            unresponsive=self._missed(),
             digest=self.own_digest(),
         )
 
@@ -335,31 +339,31 @@
         different parts of it for seconds, and take different ones for the owner of a
         queue.
         """
-        unmet = [peer for peer in self.by_id.values() if not peer.was_greeted]
+        unmet = [peer for peer in self.by_id.values() if not peer.was_contacted]
         chosen = unmet[:_MOST_UNMET]
         for peer in chosen:
-            peer.was_greeted = True
+            peer.was_contacted = True
         return [peer.contact.host for peer in chosen]
 
     def _may_own(self) -> bool:
         """Tell whether this instance is strong enough to own queues of its zone."""
         zone = self.own.zone
-        strengths = [p.strength for p in self.alive() if p.contact.zone == zone]
+        strengths = [p.cores for p in self.alive() if p.contact.zone == zone]
         return self._strength >= self._least_part * max(strengths, default=0.0)
 
     def _heard_at(self, peer_id: str) -> float:
         peer = self.by_id.get(peer_id)
-        return peer.heard_at if peer is not None else float("-inf")
+        return peer.last_seen_at if peer is not None else float("-inf")
 
     def _missed(self) -> list[str]:
         """Peers that have not answered lately and were not heard since."""
         since = now() - _TELL_MISSED_S
-        missed = [
+        unresponsive = [
             peer.contact.id
             for peer in self.by_id.values()
-            if peer.suspected_at > since and peer.heard_at < peer.suspected_at
+            if peer.suspected_at > since and peer.last_seen_at < peer.suspected_at
         ]
-        return missed[:_MOST_MISSED]
+        return unresponsive[:_MOST_MISSED]
 
     def _make_roster(self) -> Roster:
         """Work out who lives, and who of them may own queues.
@@ -369,66 +373,68 @@
         """
         alive = [peer for peer in self.alive() if not peer.is_suspect()]
         candidates = [
-            (peer.contact, peer.strength)
+            (peer.contact, peer.cores)
             for peer in alive
-            if peer.takes_work and not self.is_cut_off(peer.contact.zone)
+            if peer.accepts_work and not self.is_zone_unreachable(peer.contact.zone)
         ]
-        if self.takes_work:
+        if self.accepts_work:
             candidates.append((self.own, self._strength))
         return Roster(
             alive, candidates, least_part=self._least_part, region=self.region
         )
 
     def _is_heard(self, peer: Peer) -> bool:
-        return peer.heard_at > self._heard_since()
+        return peer.last_seen_at > self._heard_since()
 
     def _heard_since(self) -> float:
         """Since when a peer that lives must have been heard."""
         peers = len(self.by_id)
         rounds = 1 + peers // fan_out(peers)
-        return now() - HELLO_INTERVAL_S * rounds * _MISSED_HELLOS
+        return now() - HEARTBEAT_INTERVAL_S * rounds * _MISSED_HELLOS
 
-    def _hear(self, hello: Hello, _: tuple[str, int]) -> None:
+    def _handle_heartbeat(self, hello: Heartbeat, _: tuple[str, int]) -> None:
         if hello.sender.id == self.own.id:
             return
         peer = self.by_id.get(hello.sender.id)
         if peer is None or peer.contact != hello.sender:
             peer = self.by_id[hello.sender.id] = Peer(hello.sender)
         was_alive = self._is_heard(peer)
-        is_known = bool(peer.life)
-        if not was_alive or peer.takes_work != hello.takes_work:
-            self.forget_roster()
-        if not was_alive or peer.life != hello.life:
+        is_known = bool(peer.incarnation)
+        if not was_alive or peer.accepts_work != hello.accepts_work:
+            self.invalidate_roster()
+        if not was_alive or peer.incarnation != hello.incarnation:
             if is_known:
-                self._logger.info("peer_back", peer=hello.sender.id, life=hello.life)
+                self._logger.info(
+                    "peer_back", peer=hello.sender.id, life=hello.incarnation
+                )
             # Tell it at once, so that two starting instances need not wait a round.
             is_newcomer = len(hello.contacts) < _CONTACTS_TOLD
             most = _CONTACTS_TOLD_NEWCOMERS if is_newcomer else _CONTACTS_TOLD
             self.send_to((hello.sender.host, self._port), self._hello(most))
-            peer.was_greeted = True
-        peer.life = hello.life
-        peer.takes_work = hello.takes_work
+            peer.was_contacted = True
+        peer.incarnation = hello.incarnation
+        peer.accepts_work = hello.accepts_work
         peer.revision = hello.revision
         peer.loads = hello.loads
-        peer.coming = hello.coming
+        peer.pending = hello.pending
         peer.running = hello.running
-        peer.reading = hello.reading
-        peer.strength = hello.strength
-        peer.heard_at = self._heard_at_by_zone[hello.sender.zone] = now()
-        self.on_hello(hello)
+        peer.prefill_tokens = hello.prefill_tokens
+        peer.cores = hello.cores
+        peer.last_seen_at = self._heard_at_by_zone[hello.sender.zone] = now()
+        self.on_heartbeat(hello)
         for contact in hello.contacts:
             if contact.id != self.own.id and contact.id not in self.by_id:
                 self.by_id[contact.id] = Peer(contact)
-        for peer_id in hello.missed:
+        for peer_id in hello.unresponsive:
             if self.is_alive(peer_id):
                 self.verify(peer_id)
 
-    def _answer_inquiry(self, _: Inquiry, address: tuple[str, int]) -> None:
+    def _answer_inquiry(self, _: HeartbeatRequest, address: tuple[str, int]) -> None:
         self.send_to((address[0], self._port), self._hello())
 
     def _forget_silent(self) -> None:
         moment = now()
         for peer_id, peer in list(self.by_id.items()):
-            if moment - max(peer.heard_at, peer.known_at) > _FORGET_S:
+            if moment - max(peer.last_seen_at, peer.added_at) > _FORGET_S:
                 del self.by_id[peer_id]
                 self._logger.info("peer_forgotten", peer=peer_id)
--- a/packages/serving/bergamotsaddle_serving/plain.py
+++ b/packages/serving/bergamotsaddle_serving/plain.py
@@ -12,7 +12,7 @@
     UnknownRunError,
 )
 from bergamotsaddle_serving.budget import RetryBudget
-from bergamotsaddle_serving.client import ConnectionPool, end_to_end
+from bergamotsaddle_serving.client import ConnectionPool, end_to_end_headers
 from bergamotsaddle_serving.context import Context
 from bergamotsaddle_serving.messages import Dialect, Dispatch, RawHeaders
 from bergamotsaddle_serving.selector import Candidate, Selector
@@ -149,7 +149,7 @@
             if reply.head.status in PROMISES:
                 raise UnknownRunError(f"status {reply.head.status}")
             state.succeed(now() - attempt.began_at)
-        headers = list(end_to_end(reply.head.headers))
+        headers = list(end_to_end_headers(reply.head.headers))
         return WholeAnswer(reply.head.status, headers, body)
 
     def _give_up(
--- a/packages/serving/bergamotsaddle_serving/rate_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/rate_exchange.py
@@ -7,7 +7,7 @@
 from eventlet.event import Event
 
 from bergamotsaddle_serving.owners import rank_owners
-from bergamotsaddle_serving.peer_messages import RateAnswer, RateAsk
+from bergamotsaddle_serving.peer_messages import RateRequest, RateResponse
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.shared_rate import RateOwner
 
@@ -33,11 +33,11 @@
         self._owner = owner
         self._numbers = count(1)
         self._answer_by_number: dict[int, Event] = {}
-        self._answered: OrderedDict[tuple[str, int], RateAnswer] = OrderedDict()
-        peers.on(RateAsk, self._serve)
-        peers.on(RateAnswer, lambda message, _: self._take(message))
+        self._answered: OrderedDict[tuple[str, int], RateResponse] = OrderedDict()
+        peers.set_handler(RateRequest, self._serve)
+        peers.set_handler(RateResponse, lambda message, _: self._take(message))
 
-    def ask(self, key: str, scope: str, rate: float, urgency: int) -> float:
+    def request_permit(self, key: str, scope: str, rate: float, urgency: int) -> float:
         """Ask for a permit.
 
         Args:
@@ -52,7 +52,7 @@
         owner = self._owner_of(key, scope)
         if owner == self._peers.own.id:
             return self._owner.ask(key, rate, urgency)
-        question = RateAsk(next(self._numbers), key, scope, rate, urgency)
+        question = RateRequest(next(self._numbers), key, scope, rate, urgency)
         answer = self._answer_by_number[question.number] = Event()
         try:
             for _ in range(_TRIES):
@@ -67,22 +67,22 @@
     def _owner_of(self, key: str, scope: str) -> str:
         return next(iter(rank_owners(self._peers, key, scope)), self._peers.own.id)
 
-    def _serve(self, message: RateAsk, address: tuple[str, int]) -> None:
+    def _serve(self, message: RateRequest, address: tuple[str, int]) -> None:
         question = (address[0], message.number)
         answer = self._answered.get(question)
         if answer is None:
-            answer = RateAnswer(message.number, self._decide(message))
+            answer = RateResponse(message.number, self._decide(message))
             self._answered[question] = answer
             if len(self._answered) > _MOST_ANSWERED:
                 self._answered.popitem(last=False)
         self._peers.send_to(address, answer)
 
-    def _decide(self, message: RateAsk) -> float:
+    def _decide(self, message: RateRequest) -> float:
         if self._owner_of(message.key, message.scope) != self._peers.own.id:
             return _UNSETTLED_S
         return self._owner.ask(message.key, message.rate, message.urgency)
 
-    def _take(self, message: RateAnswer) -> None:
+    def _take(self, message: RateResponse) -> None:
         answer = self._answer_by_number.get(message.number)
         if answer is not None and not answer.ready():
             answer.send(message.wait)
--- a/packages/serving/bergamotsaddle_serving/roster.py
+++ b/packages/serving/bergamotsaddle_serving/roster.py
@@ -13,9 +13,9 @@
     """A living instance and what it told."""
 
     contact: Contact
-    takes_work: bool
-    strength: float
-    coming: list[tuple[str, str, list[int]]]
+    accepts_work: bool
+    cores: float
+    pending: list[tuple[str, str, list[int]]]
 
 
 class Roster:
@@ -56,7 +56,7 @@
         """Pieces that other instances will send to each queue, by urgency."""
         counts: dict[tuple[str, str], list[int]] = {}
         for member in self.members:
-            for service, scope, told in member.coming:
+            for service, scope, told in member.pending:
                 sums = counts.setdefault((service, scope), [0] * URGENCIES)
                 for urgency, count in enumerate(told):
                     sums[urgency] += count
@@ -65,7 +65,7 @@
     @cached_property
     def inhabited(self) -> set[str]:
         """Zones in which another instance takes work."""
-        return {member.contact.zone for member in self.members if member.takes_work}
+        return {member.contact.zone for member in self.members if member.accepts_work}
 
     def owners(self, scope: str) -> list[str]:
         """Instances that can own a queue of a zone or region: its own ones, else all.
@@ -82,11 +82,11 @@
 
     def _pick_owners(self, scope: str) -> list[str]:
         inside = [
-            (contact, strength)
-            for contact, strength in self._candidates
+            (contact, cores)
+            for contact, cores in self._candidates
             if scope in (contact.zone, self._region(contact.zone))
         ]
         candidates = inside or self._candidates
-        most = max((strength for _, strength in candidates), default=0.0)
+        most = max((cores for _, cores in candidates), default=0.0)
         least = self._least_part * most
-        return [contact.id for contact, strength in candidates if strength >= least]
+        return [contact.id for contact, cores in candidates if cores >= least]
--- a/packages/serving/bergamotsaddle_serving/scopes.py
+++ b/packages/serving/bergamotsaddle_serving/scopes.py
@@ -27,7 +27,7 @@
         self._view = view
         self._peers = peers
         self._counts: Counter[tuple[str, str]] = Counter()
-        view.watch(self._count)
+        view.subscribe(self._count)
         self._count()
 
     def of(self, service: str, zone: str) -> str:
--- a/packages/serving/bergamotsaddle_serving/selector.py
+++ b/packages/serving/bergamotsaddle_serving/selector.py
@@ -144,7 +144,7 @@
             state,
             self._view.is_cold(known),
             totals.running[target.id],
-            state.prompt_tokens_ahead + totals.reading[target.id],
+            state.prompt_tokens_ahead + totals.prefill_tokens[target.id],
         )
 
     def _expected(self, candidate: Candidate) -> float:
--- a/packages/serving/bergamotsaddle_serving/server.py
+++ b/packages/serving/bergamotsaddle_serving/server.py
@@ -107,21 +107,21 @@
             self.store, self.exchange, self.view, self.peers, logger, policy
         )
         self.reach = ZoneReach(self.view, self.peers, self.pool, dialect, logger)
-        self.peers.is_cut_off = self.reach.is_lost
-        self.reach.watch(self.peers.forget_roster)
+        self.peers.is_zone_unreachable = self.reach.is_lost
+        self.reach.watch(self.peers.invalidate_roster)
         self.gossip = Gossip()
         self.gossip_exchange = GossipExchange(self.gossip, self.peers)
         self.suspects = Suspects(
             self.gossip,
-            self.gossip_exchange.tell,
-            self.view.releases,
+            self.gossip_exchange.publish,
+            self.view.software_versions,
             logger,
             policy,
         )
         ends = TargetEnds(self.pool, self.view, self.suspects)
-        self.limits = NamedLimits(self.gossip, self.gossip_exchange.tell, logger)
+        self.limits = NamedLimits(self.gossip, self.gossip_exchange.publish, logger)
         self.health = Health(self.limits.note)
-        self.rate_owner = RateOwner(self.peers.heard_part)
+        self.rate_owner = RateOwner(self.peers.reachable_fraction)
         rate_exchange = RateExchange(self.peers, self.rate_owner)
         self.rates = TargetRates(self.limits, rate_exchange, logger)
         fetch_times = FetchTimes(settings.capacity.link_mbps)
@@ -176,14 +176,14 @@
             suspects=self.suspects,
         )
         self.peers.own_loads = self.owner.loads
-        self.peers.own_coming = waits.coming.told
+        self.peers.own_pending = waits.coming.told
         self.peers.own_running = self.health.running
         if policy.has(Mechanism.SHARED_READING):
-            self.peers.own_reading = self.health.reading
+            self.peers.own_prefill_tokens = self.health.reading
         self.peers.own_revision = lambda: self.view.revision
-        self.view.watch(self._note_view)
-        self.view.watch(self.owner.open_queues)
-        self.view.watch(self._forget_targets)
+        self.view.subscribe(self._note_view)
+        self.view.subscribe(self.owner.open_queues)
+        self.view.subscribe(self._forget_targets)
         self._add_gauges()
         self.usage = UsageMeter(
             {
@@ -219,7 +219,9 @@
         eventlet.spawn_n(self._accept, callers)
         # What was loaded lives as long as the process; collections need not visit it.
         gc.freeze()
-        self.logger.info("started", life=self.peers.life, callers=str(listen.callers))
+        self.logger.info(
+            "started", life=self.peers.incarnation, callers=str(listen.callers)
+        )
         self._asked_to_stop.wait()
         self._stop(callers)
 
@@ -247,8 +249,8 @@
     def _stop(self, listener: socket.socket) -> None:
         began_at = now()
         self._stopping = True
-        self.peers.takes_work = False
-        self.peers.greet()
+        self.peers.accepts_work = False
+        self.peers.send_heartbeats()
         self.owner.hand_over(is_final=True)
         self.logger.info("stopping", active=self.handler.active)
         eventlet.sleep(_NOTICE_S)
@@ -268,7 +270,7 @@
     def _close_idle(self) -> None:
         for caller in list(self.handler.connections):
             if caller.is_idle:
-                caller.end_idle()
+                caller.close_idle()
 
     def _tick(self) -> None:
         while True:
@@ -314,11 +316,11 @@
         # turn every piece away. Nor has it heard the others: after a restart of all,
         # each would take itself for the owner of everything.
         is_settled = now() - self._began_at >= SETTLE_S
-        self.peers.takes_work = is_settled and self.is_ready()
+        self.peers.accepts_work = is_settled and self.is_ready()
 
     def _forget_targets(self) -> None:
         lives = {
-            known.target.life
+            known.target.incarnation
             for group in self.view.targets_by_service.values()
             for known in group
         }
@@ -349,7 +351,7 @@
         self._asked_to_reload = True
 
     def _add_gauges(self) -> None:
-        gauge = self.metrics.gauge
+        gauge = self.metrics.add_gauge
         gauge("requests_active", "Requests here.", lambda: self.handler.active)
         gauge("peers_alive", "Peers heard lately.", lambda: len(self.peers.alive()))
         gauge(
--- a/packages/serving/bergamotsaddle_serving/settings.py
+++ b/packages/serving/bergamotsaddle_serving/settings.py
@@ -86,7 +86,7 @@
     link_mbps: float = 1_000.0
 
     @property
-    def strength(self) -> float:
+    def cores(self) -> float:
         """How much work for others it can do, in cores."""
         return min(self.cpu_share * self.cpus, self.link_mbps / _MBPS_PER_CORE)
 
--- a/packages/serving/bergamotsaddle_serving/stage_caller.py
+++ b/packages/serving/bergamotsaddle_serving/stage_caller.py
@@ -9,7 +9,7 @@
 from bergamotsaddle_serving._stage_worker import ServiceQueue, Worker
 from bergamotsaddle_serving.client import ConnectionLostError
 from bergamotsaddle_serving.fetching import FAST_LINK, FetchTimes
-from bergamotsaddle_serving.messages import PieceResult, Unmade
+from bergamotsaddle_serving.messages import PieceFailure, PieceResult
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 from bergamotsaddle_serving.stage_calls import StageCalls
 from bergamotsaddle_serving.stage_queue import (
@@ -91,7 +91,7 @@
 
     def run(self, queue: ServiceQueue, worker: Worker) -> None:
         """Call a target while it belongs to the queue."""
-        while queue.worker_by_life.get(worker.target.life) is worker:
+        while queue.worker_by_life.get(worker.target.incarnation) is worker:
             moment = now()
             if worker.rest_until > moment:
                 self.turn_away(queue)
@@ -102,7 +102,7 @@
                 worker.rest()
                 continue
             expired = queue.queue.take_expired(moment, worker.pace)
-            late = PieceResult("", Unmade.LATE)
+            late = PieceResult("", PieceFailure.LATE)
             self._results.finish(queue, [(piece.key, late) for piece in expired])
             batch = queue.queue.take_batch(
                 moment,
@@ -125,7 +125,7 @@
         """The pieces that may go into one call; others wait or are given up."""
         suspects = self._ends.suspects
         fatal = [piece for piece in batch if suspects.is_held_back(piece.work)]
-        failed = PieceResult("", Unmade.FAILED)
+        failed = PieceResult("", PieceFailure.FAILED)
         self._results.finish(queue, [(piece.key, failed) for piece in fatal])
         harmless = [piece for piece in batch if piece not in fatal]
         call, rest = set_suspects_apart(harmless, suspects.is_suspect)
@@ -197,16 +197,16 @@
             room=int(worker.room.left(now())),
             requests=sorted({piece.key.request for piece in batch}),
         )
-        if any(result.reason == Unmade.GONE for result in results):
+        if any(result.reason == PieceFailure.GONE for result in results):
             worker.note_shared()
-        if any(result.reason == Unmade.NO_ROOM for result in results):
+        if any(result.reason == PieceFailure.NO_MEMORY for result in results):
             self._ask_room(worker)
         self._take_results(queue, worker, batch, results)
 
     def _ask_room(self, worker: Worker) -> bool:
         """Ask a target for its room; False if it does not answer."""
         try:
-            free = self._calls.ask_room(worker.target)
+            free = self._calls.query_free_memory(worker.target)
         except (ConnectionLostError, ValueError) as error:
             # What is known stays; the next refusal asks again.
             self._logger.warning(
@@ -237,19 +237,19 @@
             reason=reason,
             requests=sorted({piece.key.request for piece in batch}),
         )
-        self._put_back(queue, batch, Unmade.FAILED)
+        self._put_back(queue, batch, PieceFailure.FAILED)
 
     def _put_back(
-        self, queue: ServiceQueue, batch: list[QueuedPiece], reason: Unmade | None
+        self, queue: ServiceQueue, batch: list[QueuedPiece], reason: PieceFailure | None
     ) -> None:
         for piece in batch:
             if piece.key.request in queue.cancelled:
                 continue
             if piece.tries >= _MAX_TRIES:
-                failed = PieceResult("", Unmade.FAILED)
+                failed = PieceResult("", PieceFailure.FAILED)
                 self._results.finish(queue, [(piece.key, failed)])
                 continue
-            tries = piece.tries + (reason == Unmade.FAILED)
+            tries = piece.tries + (reason == PieceFailure.FAILED)
             queue.queue.add(piece._replace(tries=tries))
         queue.wake()
 
@@ -268,7 +268,7 @@
                 worker.room.hold(result.handle, piece.result_bytes, moment)
             if piece.key.request in queue.cancelled:
                 needless += [result.handle] if result.handle else []
-            elif result.reason == Unmade.NO_ROOM:
+            elif result.reason == PieceFailure.NO_MEMORY:
                 worker.room.note_full(piece.result_bytes, moment)
                 queue.queue.add(piece)
             else:
@@ -282,7 +282,7 @@
         They have better chances at another queue, and their senders choose that.
         """
         if not queue.fit_workers():
-            self._results.finish_waiting(queue, Unmade.NO_TARGET)
+            self._results.finish_waiting(queue, PieceFailure.NO_TARGET)
 
     def _announce_start(
         self, queue: ServiceQueue, worker: Worker, batch: list[QueuedPiece]
--- a/packages/serving/bergamotsaddle_serving/stage_calls.py
+++ b/packages/serving/bergamotsaddle_serving/stage_calls.py
@@ -83,16 +83,16 @@
             raise ValueError("expected a result for each piece")
         return results
 
-    def ask_room(self, target: Target) -> float:
+    def query_free_memory(self, target: Target) -> float:
         """Ask a target how many bytes it has free at most.
 
         Raises:
             ConnectionLostError: If it did not answer.
             ValueError: If it sent no such answer.
         """
-        call = self._dialect.ask_room(target)
+        call = self._dialect.query_free_memory(target)
         _, body = self._exchange(target, call, _ASK_LIMIT_S)
-        return self._dialect.read_room(body)
+        return self._dialect.read_free_memory(body)
 
     def release(self, target: Target, handles: Sequence[str]) -> None:
         """Give up results.
@@ -106,10 +106,10 @@
     def _exchange(
         self, target: Target, call: HttpCall, limit: float
     ) -> tuple[int, bytes]:
-        connection = self._pool.take(target.address)
-        head, body = connection.exchange(call, limit=limit, most=_MAX_BODY)
-        answer = self._dialect.read_answer(head.headers)
+        connection = self._pool.acquire(target.address)
+        head, body = connection.exchange(call, limit=limit, max_bytes=_MAX_BODY)
+        answer = self._dialect.read_response(head.headers)
         if answer.limit is not None or head.status == _OK:
             self._limits.note(target, answer.limit)
-        self._pool.give(connection, answer.keep_seconds)
+        self._pool.release(connection, answer.keep_alive_seconds)
         return head.status, body
--- a/packages/serving/bergamotsaddle_serving/stage_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/stage_exchange.py
@@ -46,12 +46,12 @@
         self._inbox_by_request: dict[str, LightQueue] = {}
         self._sent_releases: deque[_SentRelease] = deque()
         owner.results.deliver_here = self.deliver
-        peers.on(Submit, self._serve)
-        peers.on(Accepted, self._take_acknowledgement)
-        peers.on(Started, lambda message, _: self.deliver(message))
-        peers.on(Results, lambda message, _: self.deliver(message))
-        peers.on(Cancel, lambda message, _: owner.cancel(message))
-        peers.on(Release, lambda message, _: owner.release(message))
+        peers.set_handler(Submit, self._serve)
+        peers.set_handler(Accepted, self._take_acknowledgement)
+        peers.set_handler(Started, lambda message, _: self.deliver(message))
+        peers.set_handler(Results, lambda message, _: self.deliver(message))
+        peers.set_handler(Cancel, lambda message, _: owner.cancel(message))
+        peers.set_handler(Release, lambda message, _: owner.release(message))
 
     def open(self, request: str) -> LightQueue:
         """Open the inbox of a request."""
@@ -121,7 +121,7 @@
         """Note the load, which heartbeats of a large fleet tell seconds late."""
         owner = self.peers.id_of(address[0])
         if owner is not None:
-            self.peers.note_load(owner, message.service, message.load)
+            self.peers.record_load(owner, message.service, message.load)
         self.deliver(message)
 
     def _serve(self, message: Submit, address: tuple[str, int]) -> None:
--- a/packages/serving/bergamotsaddle_serving/stage_load.py
+++ b/packages/serving/bergamotsaddle_serving/stage_load.py
@@ -16,14 +16,14 @@
 PLACES = 1 + URGENCIES
 
 
-def place(urgency: int, *, has_begun: bool) -> int:
+def place(urgency: int, *, has_started: bool) -> int:
     """The place at which pieces are counted; lower ones go first.
 
     Args:
         urgency: 0 first.
-        has_begun: Whether earlier stages of the request have run.
+        has_started: Whether earlier stages of the request have run.
     """
-    return 0 if has_begun else 1 + level(urgency)
+    return 0 if has_started else 1 + level(urgency)
 
 
 def urgency_of(turn: int) -> int:
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -9,12 +9,12 @@
 from bergamotsaddle_serving._stage_worker import Sender, ServiceQueue, Worker
 from bergamotsaddle_serving.catalog import Target
 from bergamotsaddle_serving.fetching import FAST_LINK, FetchTimes
-from bergamotsaddle_serving.messages import Dialect, Unmade
+from bergamotsaddle_serving.messages import Dialect, PieceFailure
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.peer_messages import (
     Accepted,
     Cancel,
-    Done,
+    PieceOutcome,
     Release,
     Results,
     Submit,
@@ -94,7 +94,7 @@
             fetch_times,
             ends=ends,
         )
-        view.watch(self._retire)
+        view.subscribe(self._retire)
         reach.watch(self._retire)
 
     def submit(self, message: Submit, sender: str) -> Accepted | Results:
@@ -109,11 +109,13 @@
         """
         queue = self._queue(message.service)
         if queue is None or not self._has_targets(queue):
-            done = [Done(n, "", Unmade.NO_TARGET) for n in message.numbers]
+            done = [
+                PieceOutcome(n, "", PieceFailure.NO_TARGET) for n in message.numbers
+            ]
             return Results(message.request, message.stage, message.round, done)
         self._verify_owner(message.service)
         queue.note_submission()
-        life = self._peers.life_of(sender)
+        life = self._peers.incarnation_of(sender)
         queue.note_sender(message.request, Sender(sender, life))
         self._note_begun(queue, message)
         known = [self._take(queue, message, number) for number in message.numbers]
@@ -144,7 +146,7 @@
         stage = StageKey(message.request, message.stage, message.round)
         if queue.wait_errors.has(stage):
             return
-        turn = place(message.urgency, has_begun=message.has_begun)
+        turn = place(message.urgency, has_started=message.has_started)
         load = self._load(queue)
         expected = load[turn] + load[PLACES]
         pieces = len(message.numbers)
@@ -187,7 +189,10 @@
             self._releases.give_up(queue, handles)
 
     def _is_dead(self, sender: Sender) -> bool:
-        return sender.life is not None and self._peers.life_of(sender.id) != sender.life
+        return (
+            sender.life is not None
+            and self._peers.incarnation_of(sender.id) != sender.life
+        )
 
     def release(self, message: Release) -> None:
         """Give up results at the targets that hold them."""
@@ -229,7 +234,7 @@
                 continue
             queue.disowned_checks += 1
             if is_final or queue.disowned_checks == _CHECKS_TO_MOVE:
-                self.results.finish_waiting(queue, Unmade.MOVED)
+                self.results.finish_waiting(queue, PieceFailure.MOVED)
 
     def open_queues(self) -> None:
         """Open a queue for each stage service, so that its waits are known."""
@@ -258,12 +263,12 @@
 
     def _hire(self, queue: ServiceQueue) -> None:
         own = self._own_targets(queue.service)
-        self._dismiss(queue, {target.life for target in own})
+        self._dismiss(queue, {target.incarnation for target in own})
         for target in own:
-            if target.life in queue.worker_by_life:
+            if target.incarnation in queue.worker_by_life:
                 continue
             worker = Worker(target, queue.queue.batching)
-            queue.worker_by_life[target.life] = worker
+            queue.worker_by_life[target.incarnation] = worker
             for _ in range(queue.queue.batching.slots):
                 eventlet.spawn_n(self._keep_working, self.caller.run, queue, worker)
             eventlet.spawn_n(self._keep_working, self._releases.run, queue, worker)
@@ -288,7 +293,7 @@
     ) -> None:
         # An error nobody thought of would end the only green thread that calls this
         # target, and its queue would stand still; the log line tells of it.
-        while queue.worker_by_life.get(worker.target.life) is worker:
+        while queue.worker_by_life.get(worker.target.incarnation) is worker:
             try:
                 work(queue, worker)
             except Exception:
@@ -297,7 +302,7 @@
 
     def _own_targets(self, service: str) -> list[Target]:
         scope = self.scopes.of(service, self._peers.own.zone)
-        inhabited = self._peers.inhabited()
+        inhabited = self._peers.active_zones()
         return [
             known.target
             for known in self._view.usable(service)
@@ -314,7 +319,9 @@
             self.caller.turn_away(queue)
             queue.wake()
 
-    def _take(self, queue: ServiceQueue, message: Submit, number: int) -> Done | None:
+    def _take(
+        self, queue: ServiceQueue, message: Submit, number: int
+    ) -> PieceOutcome | None:
         key = PieceKey(message.request, message.stage, number, message.round)
         if key in queue.done_by_key:
             return queue.done_by_key[key]
@@ -326,7 +333,7 @@
             QueuedPiece(
                 key,
                 message.urgency,
-                message.has_begun,
+                message.has_started,
                 moment + message.objective,
                 moment + message.remaining,
                 message.result_bytes,
@@ -335,7 +342,7 @@
                 message.input_bytes,
                 zone=zone,
                 zone_bytes=zone_bytes,
-                work=message.work,
+                work=message.fingerprint,
             )
         )
         return None
@@ -344,7 +351,9 @@
         """The zone in which pieces would move least, and the bytes that are there."""
         bytes_by_zone = {message.zone: float(message.result_bytes)}
         for handle in message.inputs:
-            target = self._view.target_by_address.get(self._dialect.maker(handle))
+            target = self._view.target_by_address.get(
+                self._dialect.result_address(handle)
+            )
             zone = target.zone if target is not None else ""
             share = message.input_bytes / len(message.inputs)
             bytes_by_zone[zone] = bytes_by_zone.get(zone, 0.0) + share
--- a/packages/serving/bergamotsaddle_serving/stage_plan.py
+++ b/packages/serving/bergamotsaddle_serving/stage_plan.py
@@ -53,9 +53,11 @@
         self._end_by_stage: dict[int, float] = {}
         self._idle_by_stage: dict[int, float] = {}
         for stage in self.needed:
-            has_begun = bool(self.predecessors(stage))
+            has_started = bool(self.predecessors(stage))
             expected = load(
-                route.stages[stage].service, zone, place(urgency, has_begun=has_begun)
+                route.stages[stage].service,
+                zone,
+                place(urgency, has_started=has_started),
             )
             self._expect(stage, expected)
         followed = {n for stage in route.stages for n in stage.after}
--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -72,7 +72,7 @@
 
     key: PieceKey
     urgency: int
-    has_begun: bool
+    has_started: bool
     objective_at: float
     expires_at: float
     result_bytes: int
@@ -111,7 +111,7 @@
     be on time, or one late request would make the next one late in turn.
     """
     is_late = piece.objective_at < moment + expected
-    if piece.has_begun:
+    if piece.has_started:
         due = piece.objective_at + piece.urgency * _URGENCY_S
         return (not is_open, is_late, _BEGUN_FIRST, due, piece.key)
     return (not is_open, is_late, piece.urgency, piece.objective_at, piece.key)
@@ -217,7 +217,7 @@
         return expired
 
     def _is_hopeless(self, piece: QueuedPiece, moment: float) -> bool:
-        if piece.has_begun or piece.key[:2] in self.open_sets:
+        if piece.has_started or piece.key[:2] in self.open_sets:
             return False
         return moment > piece.objective_at + _LATE_GRACE_S
 
@@ -343,7 +343,7 @@
         One of a size that a target holds once or twice never has to: it might wait for
         ever behind small ones.
         """
-        fits_often = piece.result_bytes * _FEW_RESULTS <= self.batching.room_bytes
+        fits_often = piece.result_bytes * _FEW_RESULTS <= self.batching.memory_bytes
         return fits_often and piece.result_bytes > small_bytes
 
     def _bytes_by_set(self) -> dict[tuple[str, int], int]:
@@ -367,7 +367,7 @@
         """
         counts = [0] * PLACES
         for piece in self.piece_by_key.values():
-            counts[place(piece.urgency, has_begun=piece.has_begun)] += 1
+            counts[place(piece.urgency, has_started=piece.has_started)] += 1
         rate = self.rate(targets, pace)
         return [until_free + ahead / rate for ahead in accumulate(counts)]
 
--- a/packages/serving/bergamotsaddle_serving/stage_releases.py
+++ b/packages/serving/bergamotsaddle_serving/stage_releases.py
@@ -52,14 +52,14 @@
         """
         handles_by_maker: dict[Address, list[str]] = {}
         for handle in handles:
-            maker = self._dialect.maker(handle)
+            maker = self._dialect.result_address(handle)
             handles_by_maker.setdefault(maker, []).append(handle)
         for maker, group in handles_by_maker.items():
             self._give_up_at(maker, group, queue)
 
     def run(self, queue: ServiceQueue, worker: Worker) -> None:
         """Give up what is asked for at one target, while it is called."""
-        while queue.worker_by_life.get(worker.target.life) is worker:
+        while queue.worker_by_life.get(worker.target.incarnation) is worker:
             if not worker.to_release:
                 with eventlet.Timeout(_IDLE_CHECK_S, False):
                     worker.has_release.wait()
--- a/packages/serving/bergamotsaddle_serving/stage_results.py
+++ b/packages/serving/bergamotsaddle_serving/stage_results.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable
 
 from bergamotsaddle_serving._stage_worker import ServiceQueue
-from bergamotsaddle_serving.messages import PieceResult, Unmade
-from bergamotsaddle_serving.peer_messages import Done, Results, Started
+from bergamotsaddle_serving.messages import PieceFailure, PieceResult
+from bergamotsaddle_serving.peer_messages import PieceOutcome, Results, Started
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.stage_queue import PieceKey, QueuedPiece
 
@@ -31,9 +31,9 @@
 
     def finish(self, queue: ServiceQueue, ended: Iterable[Ended]) -> None:
         """Tell how pieces ended, and keep their results in case a datagram is lost."""
-        done_by_stage: dict[tuple[str, int, int], list[Done]] = {}
+        done_by_stage: dict[tuple[str, int, int], list[PieceOutcome]] = {}
         for key, result in ended:
-            done = Done(key.number, result.handle, result.reason)
+            done = PieceOutcome(key.number, result.handle, result.reason)
             if result.handle:
                 queue.note_done(key, done)
             stage = (key.request, key.stage, key.round)
@@ -41,7 +41,7 @@
         for (request, stage, turn), group in done_by_stage.items():
             self._tell(queue, Results(request, stage, turn, group))
 
-    def finish_waiting(self, queue: ServiceQueue, reason: Unmade) -> None:
+    def finish_waiting(self, queue: ServiceQueue, reason: PieceFailure) -> None:
         """Send all pieces that wait back to their requests."""
         keys = list(queue.queue.piece_by_key)
         queue.queue.piece_by_key.clear()
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -10,12 +10,12 @@
 from bergamotsaddle_contracts.errors import ErrorKind, Ran, RequestError
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.catalog import Route
-from bergamotsaddle_serving.messages import RequestHead, Unmade
+from bergamotsaddle_serving.messages import PieceFailure, RequestHead
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.peer_messages import (
     Accepted,
     Cancel,
-    Done,
+    PieceOutcome,
     Release,
     Results,
     Started,
@@ -265,14 +265,14 @@
             key="" if inputs else self._head.piece_key,
             inputs=inputs,
             urgency=self._urgency,
-            has_begun=bool(self._results_by_stage),
+            has_started=bool(self._results_by_stage),
             result_bytes=stage.result_bytes,
             input_bytes=self._input_bytes(opened.number),
             zone=self._plan.zone,
             objective=self._plan.objective_at(opened.number) - moment,
             remaining=remaining,
             round=opened.round,
-            work=self._work,
+            fingerprint=self._work,
         )
         opened.unacknowledged += 1
         opened.next_at = moment + _ACK_LIMIT_S
@@ -345,7 +345,7 @@
         return min([*times, self._deadline_at])
 
     def _take_results(self, message: Results) -> None:
-        failed: list[tuple[_Open, Unmade | None]] = []
+        failed: list[tuple[_Open, PieceFailure | None]] = []
         for done in message.done:
             opened = self._find(message, done.number)
             if opened is None:
@@ -362,7 +362,7 @@
             self._ended_by_stage[message.stage] = now()
             self._release_inner()
 
-    def _close(self, opened: _Open, done: Done) -> None:
+    def _close(self, opened: _Open, done: PieceOutcome) -> None:
         opened.missing.discard(done.number)
         if not opened.missing:
             self._open.remove(opened)
@@ -383,7 +383,7 @@
                 return opened
         return None
 
-    def _give_up_extra(self, stage: int, done: Done) -> None:
+    def _give_up_extra(self, stage: int, done: PieceOutcome) -> None:
         held = self._results_by_stage.get(stage, {})
         if not done.handle or done.handle in held.values():
             return
@@ -392,12 +392,12 @@
         for owner in self._owners:
             self._exchange.send(owner, release)
 
-    def _fail(self, opened: _Open, reason: Unmade | None) -> None:
-        if reason is Unmade.LATE:
+    def _fail(self, opened: _Open, reason: PieceFailure | None) -> None:
+        if reason is PieceFailure.LATE:
             raise self._refuse(ErrorKind.DEADLINE_INFEASIBLE, "a stage was too late")
-        if reason is Unmade.MOVED:
+        if reason is PieceFailure.MOVED:
             return
-        if reason is Unmade.NO_TARGET:
+        if reason is PieceFailure.NO_TARGET:
             service = self._route.stages[opened.number].service
             self._plan.avoid(service, opened.scope, now())
             eventlet.sleep(_NO_TARGET_PAUSE_S)
@@ -413,7 +413,7 @@
             reason=reason,
         )
         self._begin_round()
-        if reason is Unmade.GONE:
+        if reason is PieceFailure.GONE:
             # So are the inputs of its other pieces that still wait.
             self._open = [o for o in self._open if o.number != opened.number]
             self._forget_inputs(opened.number)
--- a/packages/serving/bergamotsaddle_serving/stage_waits.py
+++ b/packages/serving/bergamotsaddle_serving/stage_waits.py
@@ -113,7 +113,7 @@
         if declared is None or declared.batching is None:
             # Dropped from the configuration since the stage was begun.
             return 0.0
-        return declared.batching.keep_seconds
+        return declared.batching.ttl_seconds
 
     def _times(self, service: str, turn: int, plan: StagePlan) -> dict[str, float]:
         return {
@@ -129,7 +129,7 @@
             for known in self._view.usable(service)
         ]
         targets = scopes.count(scope)
-        room = _ROOM_PART * declared.room_bytes * max(1, targets)
+        room = _ROOM_PART * declared.memory_bytes * max(1, targets)
         return max(1, int(room / max(1, stage.result_bytes)))
 
     def _loads(self, service: str, turn: int) -> dict[str, StageLoad]:
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -23,7 +23,7 @@
 )
 from bergamotsaddle_serving.budget import RetryBudget
 from bergamotsaddle_serving.caller import CallerConnection
-from bergamotsaddle_serving.client import ConnectionPool, end_to_end
+from bergamotsaddle_serving.client import ConnectionPool, end_to_end_headers
 from bergamotsaddle_serving.context import Context
 from bergamotsaddle_serving.engine_choice import (
     EngineChoice,
@@ -318,7 +318,7 @@
                 service,
                 context.route.stages[stage],
                 count,
-                place(context.urgency, has_begun=bool(plan.predecessors(stage))),
+                place(context.urgency, has_started=bool(plan.predecessors(stage))),
                 plan,
             ),
             coming=self._server.waits.coming,
@@ -460,7 +460,9 @@
         if self._has_started:
             return
         self._has_started = True
-        self._caller.start(reply.head.status, list(end_to_end(reply.head.headers)))
+        self._caller.start(
+            reply.head.status, list(end_to_end_headers(reply.head.headers))
+        )
 
     def _release_when_fetched(self, sent_bytes: int) -> None:
         """Give up the inputs once the engine has surely fetched them.
@@ -489,7 +491,7 @@
             raise UnknownRunError(f"status {status}")
         if status >= 500 and self._may_run_again():
             raise UnknownRunError(f"status {status}")
-        self._caller.answer(status, list(end_to_end(reply.head.headers)), body)
+        self._caller.respond(status, list(end_to_end_headers(reply.head.headers)), body)
 
     def _handle_refusal(self, candidate: Candidate, error: NotRunError) -> None:
         if error.status == _CONFLICT:
--- a/packages/serving/bergamotsaddle_serving/target_ends.py
+++ b/packages/serving/bergamotsaddle_serving/target_ends.py
@@ -4,7 +4,7 @@
 
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.catalog import Target
-from bergamotsaddle_serving.client import BROKEN_OFF, ConnectionPool
+from bergamotsaddle_serving.client import BROKEN_CONNECTION_REASONS, ConnectionPool
 from bergamotsaddle_serving.suspects import Suspects
 from bergamotsaddle_serving.view import View
 
@@ -36,7 +36,7 @@
         self._pending_by_life: dict[
             tuple[str, int], tuple[float, Target, set[str]]
         ] = {}
-        view.watch(self._note_view)
+        view.subscribe(self._note_view)
 
     def note_failure(self, target: Target, works: Sequence[str], reason: str) -> None:
         """Note that a connection failed while a target ran some requests.
@@ -46,11 +46,11 @@
             works: Fingerprints of the requests.
             reason: Why it failed, as ``ConnectionLostError`` tells.
         """
-        if reason not in BROKEN_OFF or self._view.is_leaving(target):
+        if reason not in BROKEN_CONNECTION_REASONS or self._view.is_leaving(target):
             return
         if not self._pool.is_refused(target.address):
             pending = self._pending_by_life.setdefault(
-                target.life, (now(), target, set())
+                target.incarnation, (now(), target, set())
             )
             pending[2].update(works)
             return
@@ -61,6 +61,6 @@
         for life, (moment, target, works) in list(self._pending_by_life.items()):
             if moment < since or self._view.is_leaving(target):
                 del self._pending_by_life[life]
-            elif not self._view.has_life(target):
+            elif not self._view.has_incarnation(target):
                 del self._pending_by_life[life]
                 self.suspects.note_end(target, sorted(works))
--- a/packages/serving/bergamotsaddle_serving/target_rates.py
+++ b/packages/serving/bergamotsaddle_serving/target_rates.py
@@ -42,10 +42,10 @@
         if self.wait(target) > 0:
             return False
         key = f"{target.id} {target.started_ms}"
-        wait = self._exchange.ask(key, target.zone, limit, urgency)
+        wait = self._exchange.request_permit(key, target.zone, limit, urgency)
         if wait <= 0:
             return True
-        self._free_at_by_life[target.life] = now() + wait
+        self._free_at_by_life[target.incarnation] = now() + wait
         self._logger.info(
             "limit_reached",
             request=request,
@@ -59,7 +59,7 @@
         """Seconds until a target may have a permit to give, 0 if it may now."""
         if not self._free_at_by_life or self._limits.of(target) is None:
             return 0.0
-        return max(0.0, self._free_at_by_life.get(target.life, 0.0) - now())
+        return max(0.0, self._free_at_by_life.get(target.incarnation, 0.0) - now())
 
     def keep_only(self, lives: set[tuple[str, int]]) -> None:
         """Forget targets that are gone."""
--- a/packages/serving/bergamotsaddle_serving/target_totals.py
+++ b/packages/serving/bergamotsaddle_serving/target_totals.py
@@ -9,7 +9,7 @@
     """What one instance told of the targets that it uses."""
 
     running: dict[str, int]
-    reading: dict[str, int]
+    prefill_tokens: dict[str, int]
 
 
 class TargetTotals:
@@ -27,7 +27,7 @@
 
     def __init__(self, told: Iterable[Told] = ()) -> None:
         self.running: Counter[str] = Counter()
-        self.reading: Counter[str] = Counter()
+        self.prefill_tokens: Counter[str] = Counter()
         for instance in told:
             self.running.update(instance.running)
-            self.reading.update(instance.reading)
+            self.prefill_tokens.update(instance.prefill_tokens)
--- a/packages/serving/bergamotsaddle_serving/view.py
+++ b/packages/serving/bergamotsaddle_serving/view.py
@@ -6,7 +6,7 @@
 from bergamotsaddle_contracts.ini import Address
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.catalog import Configuration, Target
-from bergamotsaddle_serving.messages import Dialect, Entry, Evacuation
+from bergamotsaddle_serving.messages import Dialect, Evacuation, StoreEntry
 
 # An entry may lapse while the store can't be written to, though its target lives. It
 # is back within two seconds of the store's return; one that is missing longer is gone.
@@ -33,8 +33,8 @@
             unknown; whatever is missing has been deleted.
     """
 
-    entries: list[Entry]
-    is_whole: bool
+    entries: list[StoreEntry]
+    is_snapshot: bool
 
 
 class View:
@@ -51,32 +51,32 @@
     def __init__(self, dialect: Dialect, logger: Any) -> None:
         self._dialect = dialect
         self._logger = logger
-        self._entry_by_key: dict[str, Entry] = {}
+        self._entry_by_key: dict[str, StoreEntry] = {}
         self._lapsing_keys: set[str] = set()
         self._known_by_id: dict[str, KnownTarget] = {}
         self._watchers: list[Callable[[], None]] = []
         self.configuration: Configuration | None = None
-        self.evacuated: set[str] = set()
+        self.evacuated_zones: set[str] = set()
         self._back_cold_by_zone: dict[str, float] = {}
         self.targets_by_service: dict[str, list[KnownTarget]] = {}
         self.target_by_address: dict[Address, Target] = {}
         self.revision = 0
         self._history_from = 0
-        self.has_listed = False
+        self.has_snapshot = False
         self.confirmed_at = float("-inf")
-        self.store_back_at = float("-inf")
+        self.store_regained_at = float("-inf")
 
     def is_complete(self) -> bool:
         """Tell whether this instance knows enough to serve."""
-        return self.configuration is not None and self.has_listed
+        return self.configuration is not None and self.has_snapshot
 
-    def watch(self, callback: Callable[[], None]) -> None:
+    def subscribe(self, callback: Callable[[], None]) -> None:
         """Have a function called after each change."""
         self._watchers.append(callback)
 
     def apply(
         self,
-        entries: Iterable[Entry],
+        entries: Iterable[StoreEntry],
         revision: int,
         *,
         source: str,
@@ -102,19 +102,19 @@
             self._rebuild()
         return bool(changed)
 
-    def replace(self, entries: list[Entry], revision: int, *, source: str) -> None:
+    def replace(self, entries: list[StoreEntry], revision: int, *, source: str) -> None:
         """Take a whole list in: what it lacks has been deleted since."""
         listed = {entry.key for entry in entries}
         missing = [
-            Entry(key, revision, None)
+            StoreEntry(key, revision, None)
             for key, entry in self._entry_by_key.items()
             if entry.value is not None
             and key not in listed
             and entry.revision <= revision
         ]
         # Before the change is told: watchers ask whether the view is complete.
-        is_first = not self.has_listed
-        self.has_listed = True
+        is_first = not self.has_snapshot
+        self.has_snapshot = True
         self._history_from = revision
         self.apply([*entries, *missing], revision, source=source, is_first=is_first)
         self._logger.info(
@@ -137,18 +137,19 @@
         return [
             known
             for known in self.targets_by_service.get(service, ())
-            if not known.target.is_draining and known.target.zone not in self.evacuated
+            if not known.target.is_draining
+            and known.target.zone not in self.evacuated_zones
         ]
 
     def may_get_work(self, target: Target) -> bool:
         """Tell whether a chosen target may still get new work, just before sending."""
         known = self._known_by_id.get(target.id)
-        if known is None or known.target.life != target.life:
+        if known is None or known.target.incarnation != target.incarnation:
             return False
         return (
             known.target.address == target.address
             and not known.target.is_draining
-            and target.zone not in self.evacuated
+            and target.zone not in self.evacuated_zones
         )
 
     def is_leaving(self, target: Target) -> bool:
@@ -156,12 +157,12 @@
         known = self._known_by_id.get(target.id)
         return known is not None and known.target.is_draining
 
-    def has_life(self, target: Target) -> bool:
+    def has_incarnation(self, target: Target) -> bool:
         """Tell whether a life of a target is listed."""
         known = self._known_by_id.get(target.id)
-        return known is not None and known.target.life == target.life
+        return known is not None and known.target.incarnation == target.incarnation
 
-    def releases(self) -> set[tuple[str, str]]:
+    def software_versions(self) -> set[tuple[str, str]]:
         """Service and software version of each target that is listed."""
         targets = [known.target for known in self._known_by_id.values()]
         return {(target.service, target.software) for target in targets}
@@ -174,7 +175,7 @@
 
     def drop_lapsed(self) -> None:
         """Forget targets whose entries lapsed and did not come back in time."""
-        due = now() - self.store_back_at > LAPSE_GRACE_S
+        due = now() - self.store_regained_at > LAPSE_GRACE_S
         if not due or not self._lapsing_keys:
             return
         for key in self._lapsing_keys:
@@ -182,11 +183,11 @@
         self._lapsing_keys.clear()
         self._rebuild()
 
-    def _is_news(self, entry: Entry) -> bool:
+    def _is_news(self, entry: StoreEntry) -> bool:
         known = self._entry_by_key.get(entry.key)
         return known is None or entry.revision > known.revision
 
-    def _take(self, entry: Entry, source: str, *, is_first: bool) -> None:
+    def _take(self, entry: StoreEntry, source: str, *, is_first: bool) -> None:
         self._entry_by_key[entry.key] = entry
         self._lapsing_keys.discard(entry.key)
         try:
@@ -216,11 +217,11 @@
         elif entry.value is None:
             self._take_deletion(entry.key)
 
-    def _take_evacuation(self, evacuation: Evacuation, entry: Entry) -> None:
+    def _take_evacuation(self, evacuation: Evacuation, entry: StoreEntry) -> None:
         if entry.value is not None:
-            self.evacuated.add(evacuation.zone)
+            self.evacuated_zones.add(evacuation.zone)
             return
-        self.evacuated.discard(evacuation.zone)
+        self.evacuated_zones.discard(evacuation.zone)
         self._back_cold_by_zone[evacuation.zone] = now() + _ZONE_BACK_COLD_S
 
     def _take_configuration(self, decoded: Configuration, source: str) -> None:
@@ -231,7 +232,7 @@
         self._logger.info("configuration", version=decoded.version, source=source)
 
     def _take_deletion(self, key: str) -> None:
-        if now() - self.store_back_at <= LAPSE_GRACE_S:
+        if now() - self.store_regained_at <= LAPSE_GRACE_S:
             # Around the store's outage an entry may lapse though its target lives;
             # giving up all of them at once would leave callers without any.
             self._lapsing_keys.add(key)
--- a/packages/serving/bergamotsaddle_serving/view_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/view_exchange.py
@@ -11,7 +11,7 @@
 from bergamotsaddle_contracts.errors import BergamotsaddleError
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.follower import batch_pause
-from bergamotsaddle_serving.messages import Entry
+from bergamotsaddle_serving.messages import StoreEntry
 from bergamotsaddle_serving.peer_messages import Contact
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.settings import ServingSettings
@@ -39,7 +39,7 @@
     """A peer did not answer a question about its view."""
 
 
-class Question(msgspec.Struct, array_like=True):
+class ViewRequest(msgspec.Struct, array_like=True):
     """Asks for what a peer's view has got since a revision.
 
     Attributes:
@@ -51,7 +51,7 @@
     wait: float = 0.0
 
 
-class Answer(msgspec.Struct, array_like=True):
+class ViewResponse(msgspec.Struct, array_like=True):
     """What a peer's view has got.
 
     Attributes:
@@ -64,12 +64,12 @@
         is_store_lost: Whether the peer fails to read the store.
     """
 
-    entries: list[Entry]
+    entries: list[StoreEntry]
     revision: int
-    has_listed: bool
-    is_whole: bool
+    has_snapshot: bool
+    is_snapshot: bool
     age: float
-    back_age: float
+    regained_age: float
     is_store_lost: bool
 
 
@@ -94,7 +94,7 @@
             self.close()
             raise LinkError(str(error)) from error
 
-    def ask(self, question: Question) -> Answer:
+    def query(self, question: ViewRequest) -> ViewResponse:
         """Ask a question.
 
         Raises:
@@ -106,7 +106,7 @@
             frame = _read_frame(self._socket)
             if frame is None:
                 raise LinkError("closed")
-            return msgspec.msgpack.decode(frame, type=Answer)
+            return msgspec.msgpack.decode(frame, type=ViewResponse)
         except (OSError, msgspec.DecodeError) as error:
             raise LinkError(str(error)) from error
 
@@ -140,7 +140,7 @@
         self._view = view
         self._is_store_lost = is_store_lost
         self._news = Event()
-        view.watch(self._note_news)
+        view.subscribe(self._note_news)
         self._peers = peers
         self._logger = logger
         self._port = settings.listen.peer_port
@@ -154,7 +154,7 @@
     def run(self) -> None:
         """Catch up with peers for ever."""
         while True:
-            eventlet.sleep(_CHECK_S if self._view.has_listed else _FIRST_CHECK_S)
+            eventlet.sleep(_CHECK_S if self._view.has_snapshot else _FIRST_CHECK_S)
             ahead = self._ahead()
             if ahead is None:
                 self._behind_since = None
@@ -165,7 +165,7 @@
                 self._behind_since = now()
                 self._stood_at = self._view.revision
             if now() - self._behind_since >= self._patience() or not (
-                self._view.has_listed
+                self._view.has_snapshot
             ):
                 self._catch_up(ahead)
 
@@ -183,7 +183,7 @@
         ahead.sort(key=lambda p: p.contact.zone != self._peers.own.zone)
         return ahead[0].contact if ahead else None
 
-    def link(self, contact: Contact) -> PeerLink:
+    def connect(self, contact: Contact) -> PeerLink:
         """Connect to a peer.
 
         Raises:
@@ -191,30 +191,32 @@
         """
         return PeerLink(contact, self._port)
 
-    def take(self, answer: Answer, *, source: str) -> None:
+    def apply_response(self, answer: ViewResponse, *, source: str) -> None:
         """Take what a peer told into the view."""
         moment = now()
         view = self._view
         # Before the entries: some may have lapsed while the store was away.
-        view.store_back_at = max(view.store_back_at, moment - answer.back_age)
-        if answer.is_whole and answer.has_listed:
+        view.store_regained_at = max(
+            view.store_regained_at, moment - answer.regained_age
+        )
+        if answer.is_snapshot and answer.has_snapshot:
             view.replace(answer.entries, answer.revision, source=source)
         else:
             view.apply(answer.entries, answer.revision, source=source)
         view.confirmed_at = max(view.confirmed_at, moment - answer.age)
 
     def _catch_up(self, contact: Contact) -> None:
-        since = self._view.revision if self._view.has_listed else _NOTHING
+        since = self._view.revision if self._view.has_snapshot else _NOTHING
         try:
-            link = self.link(contact)
+            link = self.connect(contact)
             try:
-                answer = link.ask(Question(since))
+                answer = link.query(ViewRequest(since))
             finally:
                 link.close()
         except LinkError as error:
             self._logger.info("peer_silent", peer=contact.id, reason=str(error))
             return
-        self.take(answer, source=contact.id)
+        self.apply_response(answer, source=contact.id)
         self._logger.info(
             "caught_up",
             peer=contact.id,
@@ -231,7 +233,7 @@
         sock.settimeout(_IDLE_LIMIT_S)
         try:
             while (frame := _read_frame(sock)) is not None:
-                question = msgspec.msgpack.decode(frame, type=Question)
+                question = msgspec.msgpack.decode(frame, type=ViewRequest)
                 self._await_news(question)
                 _send_frame(sock, self._tell(question))
         except (OSError, msgspec.DecodeError) as error:
@@ -239,23 +241,23 @@
         finally:
             sock.close()
 
-    def _await_news(self, question: Question) -> None:
+    def _await_news(self, question: ViewRequest) -> None:
         ends_at = now() + min(question.wait, _MOST_WAIT_S)
         while self._view.revision <= question.revision and now() < ends_at:
             with eventlet.Timeout(ends_at - now(), False):
                 self._news.wait()
 
-    def _tell(self, question: Question) -> Answer:
+    def _tell(self, question: ViewRequest) -> ViewResponse:
         view = self._view
         changes = view.changes_since(question.revision)
         moment = now()
-        return Answer(
+        return ViewResponse(
             entries=changes.entries,
             revision=view.revision,
-            has_listed=view.has_listed,
-            is_whole=changes.is_whole,
+            has_snapshot=view.has_snapshot,
+            is_snapshot=changes.is_snapshot,
             age=moment - view.confirmed_at,
-            back_age=moment - view.store_back_at,
+            regained_age=moment - view.store_regained_at,
             is_store_lost=self._is_store_lost(),
         )
 
--- a/packages/serving/bergamotsaddle_serving/view_follower.py
+++ b/packages/serving/bergamotsaddle_serving/view_follower.py
@@ -5,7 +5,7 @@
 import eventlet
 
 from bergamotsaddle_daemon.clock import now
-from bergamotsaddle_serving.follower import LONGEST_WATCH_S, StoreFollower
+from bergamotsaddle_serving.follower import MAX_WATCH_S, StoreFollower
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
@@ -14,14 +14,14 @@
 from bergamotsaddle_serving.view_exchange import (
     LinkError,
     PeerLink,
-    Question,
     ViewExchange,
+    ViewRequest,
 )
 
 # How long a reader holds a question. One that has frozen is noticed after it.
 _WAIT_S = 1.0
 # A reader whose view the store has not confirmed for so long hears nothing any more.
-_MAX_AGE_S = LONGEST_WATCH_S + 0.7
+_MAX_AGE_S = MAX_WATCH_S + 0.7
 # How long a reader is left that did not answer, or knew nothing new.
 _AVOID_S = 5.0
 # An instance that has just started waits so long for others to say that they read.
@@ -82,10 +82,10 @@
     def _is_settling(self) -> bool:
         """Tell whether readers may still turn up after a start."""
         is_new = now() - self._began_at < _SETTLE_S
-        return is_new and self._has_readers and self._view.has_listed
+        return is_new and self._has_readers and self._view.has_snapshot
 
     def _pick(self, ranked: list[str]) -> str | None:
-        if not self._has_readers or not self._view.has_listed:
+        if not self._has_readers or not self._view.has_snapshot:
             return None
         moment = now()
         avoided = {name for name, end in self._avoided_until.items() if end > moment}
@@ -99,13 +99,13 @@
     def _follow(self, reader: str) -> None:
         try:
             link = self._link_to(reader)
-            answer = link.ask(Question(self._view.revision, _WAIT_S))
+            answer = link.query(ViewRequest(self._view.revision, _WAIT_S))
         except LinkError as error:
             self._close_link()
             self._leave(reader, str(error))
             self._peers.verify(reader)
             return
-        self._exchange.take(answer, source=reader)
+        self._exchange.apply_response(answer, source=reader)
         if answer.is_store_lost:
             self._leave(reader, "store lost")
         elif answer.age > _MAX_AGE_S:
@@ -122,7 +122,7 @@
         contact = self._peers.by_id[reader].contact
         if self._link is None or self._link.contact != contact:
             self._close_link()
-            self._link = self._exchange.link(contact)
+            self._link = self._exchange.connect(contact)
             self._logger.info("reader_followed", reader=reader)
         return self._link
 
--- a/packages/serving/bergamotsaddle_serving/zone_reach.py
+++ b/packages/serving/bergamotsaddle_serving/zone_reach.py
@@ -84,7 +84,7 @@
         self._silence_by_zone: dict[str, _Silence] = {}
         self._watchers: list[Callable[[], None]] = []
         self._targets_by_zone: dict[str, list[Target]] = {}
-        view.watch(self._note_targets)
+        view.subscribe(self._note_targets)
         self._note_targets()
 
     def watch(self, callback: Callable[[], None]) -> None:
@@ -117,9 +117,9 @@
 
     def _check(self, zone: str, targets: list[Target]) -> None:
         moment = now()
-        heard_at = max(self._began_at, self._peers.zone_heard_at(zone))
+        heard_at = max(self._began_at, self._peers.zone_last_seen_at(zone))
         if heard_at <= moment - _INQUIRE_S:
-            self._peers.inquire(zone)
+            self._peers.request_heartbeat(zone)
         if heard_at > moment - _SILENT_S:
             self._silence_by_zone.pop(zone, None)
             self._note(zone, is_lost=False)
@@ -138,19 +138,19 @@
         began_at = now()
         answers = [eventlet.spawn(self._answers, target) for target in targets]
         is_lost = not any(answer.wait() for answer in answers)
-        if is_lost and self._peers.zone_heard_at(zone) >= began_at:
+        if is_lost and self._peers.zone_last_seen_at(zone) >= began_at:
             return
         self._note(zone, is_lost=is_lost)
 
     def _answers(self, target: Target) -> bool:
-        call = self._dialect.ask_room(target)
+        call = self._dialect.query_free_memory(target)
         try:
-            connection = self._pool.take(target.address, limit=_PROBE_LIMIT_S)
-            connection.exchange(call, limit=_PROBE_LIMIT_S, most=_MAX_BODY)
+            connection = self._pool.acquire(target.address, limit=_PROBE_LIMIT_S)
+            connection.exchange(call, limit=_PROBE_LIMIT_S, max_bytes=_MAX_BODY)
         except ConnectionLostError as error:
             self._logger.info("probe_failed", target=target.id, reason=error.reason)
             return False
-        self._pool.give(connection, None)
+        self._pool.release(connection, None)
         return True
 
     def _note(self, zone: str, *, is_lost: bool) -> None:
--- a/packages/standins/bergamotsaddle_standins/peer_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/peer_fleet.py
@@ -59,7 +59,7 @@
 
     def arrive(self, data: bytes, host: str) -> None:
         """Take a datagram."""
-        self._take(data, (host, _ANY_PORT))
+        self._handle_datagram(data, (host, _ANY_PORT))
 
 
 class PeerFleet:
@@ -100,7 +100,7 @@
         """Have an instance neither send nor get anything any more."""
         peers = next(peers for peers in self if peers.own.id == name)
         self._started.discard(peers.own.host)
-        peers.greet = lambda: None
+        peers.send_heartbeats = lambda: None
 
     def heal(self) -> None:
         """End all cuts."""
@@ -131,7 +131,7 @@
 
 
 def _take_work(peers: Peers) -> None:
-    peers.takes_work = True
+    peers.accepts_work = True
 
 
 def _host(number: int) -> str:
--- a/packages/standins/bergamotsaddle_standins/virtual_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_fleet.py
@@ -23,7 +23,7 @@
 from bergamotsaddle_serving.gossip_exchange import GossipExchange
 from bergamotsaddle_serving.handler import Handler
 from bergamotsaddle_serving.health import Health
-from bergamotsaddle_serving.messages import Entry, RawHeaders
+from bergamotsaddle_serving.messages import RawHeaders, StoreEntry
 from bergamotsaddle_serving.metrics import Metrics
 from bergamotsaddle_serving.named_limits import NamedLimits
 from bergamotsaddle_serving.plain import PlainServer
@@ -91,11 +91,11 @@
         """Give the request, then none."""
         return self._requests.pop() if self._requests else None
 
-    def serve(self, work: Callable[[], None]) -> None:
+    def run_while_connected(self, work: Callable[[], None]) -> None:
         """Do the work."""
         work()
 
-    def answer(self, status: int, headers: RawHeaders, body: bytes) -> None:
+    def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
         """Take a whole answer."""
         self.start(status, headers)
         self.finish()
@@ -138,20 +138,20 @@
     ) -> None:
         self.peers = peers
         self.view = View(dialect, SILENT)
-        self.view.has_listed = True
+        self.view.has_snapshot = True
         gossip = Gossip()
-        tell = GossipExchange(gossip, peers).tell
+        tell = GossipExchange(gossip, peers).publish
         self.limits = NamedLimits(gossip, tell, SILENT)
         self.health = Health(self.limits.note)
         peers.own_running = self.health.running
         pool = VirtualPool(targets, peers.own.id)
         budget = RetryBudget(_BOUNDS, peers.size)
         reach = SimpleNamespace(is_lost=lambda zone: False)
-        owner = RateOwner(peers.heard_part)
+        owner = RateOwner(peers.reachable_fraction)
         rates = TargetRates(self.limits, RateExchange(peers, owner), SILENT)
         cold = ColdPace(peers.size)
         selector = Selector(self.view, self.health, peers, cold, reach, rates)
-        self.suspects = Suspects(gossip, tell, self.view.releases, SILENT)
+        self.suspects = Suspects(gossip, tell, self.view.software_versions, SILENT)
         ends = TargetEnds(pool, self.view, self.suspects)
         plain = PlainServer(selector, pool, budget, dialect, SILENT, ends=ends)
         # Its routes have no stages.
@@ -183,7 +183,7 @@
     def __init__(self, size: int, *, targets: int, back_after: float = 3.0) -> None:
         self._dialect = VirtualDialect()
         self._revisions = count(1)
-        self._entries: list[Entry] = []
+        self._entries: list[StoreEntry] = []
         self._ids = count(1)
         self.instances: list[VirtualInstance] = []
         self.targets = VirtualTargets(
@@ -219,7 +219,7 @@
         if value is not None:
             self._dialect.objects_by_key[key] = value
         held = None if value is None else b"held"
-        entry = Entry(key, next(self._revisions), held)
+        entry = StoreEntry(key, next(self._revisions), held)
         self._entries.append(entry)
         for instance in self.instances:
             instance.view.apply([entry], entry.revision, source="list")
--- a/packages/standins/bergamotsaddle_standins/virtual_targets.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_targets.py
@@ -9,14 +9,14 @@
 from bergamotsaddle_contracts.ini import Address
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.catalog import Target
-from bergamotsaddle_serving.client import ConnectionLostError, IncomingHead
+from bergamotsaddle_serving.client import ConnectionLostError, RawResponseHead
 from bergamotsaddle_serving.messages import (
-    AnswerHead,
     Dispatch,
-    Entry,
     HttpCall,
     RawHeaders,
     RequestHead,
+    ResponseHead,
+    StoreEntry,
 )
 
 SERVICE = "generate"
@@ -94,18 +94,18 @@
             (b"target", dispatch.target.id.encode()),
         ]
 
-    def read_answer(self, headers: RawHeaders) -> AnswerHead:
+    def read_response(self, headers: RawHeaders) -> ResponseHead:
         """Decode the headers of an answer."""
         by_name = dict(headers)
         request_id = by_name[b"id"].decode()
         limit = float(by_name[b"limit"]) if b"limit" in by_name else None
-        return AnswerHead(request_id, True, False, None, None, False, limit)
+        return ResponseHead(request_id, True, False, None, None, False, limit)
 
     def target_id(self, key: str) -> str | None:
         """Id of the target that an entry tells of."""
         return key
 
-    def decode(self, entry: Entry) -> object | None:
+    def decode(self, entry: StoreEntry) -> object | None:
         """Look an entry up."""
         return None if entry.value is None else self.objects_by_key[entry.key]
 
@@ -145,16 +145,16 @@
             self._targets.begin(self._target, call.path)
         return 0
 
-    def read_head(self, *, limit: float) -> IncomingHead:
+    def read_head(self, *, limit: float) -> RawResponseHead:
         """Wait for the first event."""
         is_misdirected = self._headers[b"target"].decode() != self._target.id
         if is_misdirected:
-            return IncomingHead(_MISDIRECTED, [*self._headers.items()])
+            return RawResponseHead(_MISDIRECTED, [*self._headers.items()])
         self._wait(self._began_at + self._first_seconds, limit)
         headers = [(b"id", self._headers[b"id"])]
         if self._target.limit is not None:
             headers.append((b"limit", str(self._target.limit).encode()))
-        return IncomingHead(_OK, headers)
+        return RawResponseHead(_OK, headers)
 
     def read_some(self, *, limit: float) -> bytes | None:
         """Give the next event, None at the end."""
@@ -165,7 +165,7 @@
             return None
         return self._left.pop(0)
 
-    def read_body(self, *, limit: float, most: int) -> bytes:
+    def read_body(self, *, limit: float, max_bytes: int) -> bytes:
         """Give no body, as a refusal has none."""
         return b""
 
@@ -200,7 +200,7 @@
         self._targets = targets
         self._instance = instance
 
-    def take(self, address: Address, *, limit: float = 1.0) -> VirtualConnection:
+    def acquire(self, address: Address, *, limit: float = 1.0) -> VirtualConnection:
         """Make a connection.
 
         Raises:
@@ -217,7 +217,9 @@
         eventlet.sleep(_TRIP_S)
         return not self._targets.by_address[address].is_up
 
-    def give(self, connection: VirtualConnection, keep_seconds: float | None) -> None:
+    def release(
+        self, connection: VirtualConnection, keep_alive_seconds: float | None
+    ) -> None:
         """Take back a connection; none is kept."""
 
 
--- a/tests/_stages.py
+++ b/tests/_stages.py
@@ -3,15 +3,15 @@
 import msgspec
 
 from bergamotsaddle_serving.catalog import Batching
-from bergamotsaddle_serving.messages import Entry
+from bergamotsaddle_serving.messages import StoreEntry
 
 FOUR_A_CALL = Batching(
     slots=1,
     size=4,
     call_seconds=0.15,
     piece_seconds=0.03,
-    room_bytes=18e6,
-    keep_seconds=4.0,
+    memory_bytes=18e6,
+    ttl_seconds=4.0,
 )
 
 BATCHING = {
@@ -33,4 +33,4 @@
         "slots": 1,
         "state": "ready",
     }
-    return Entry(f"servers/{name}", port, msgspec.json.encode(fields))
+    return StoreEntry(f"servers/{name}", port, msgspec.json.encode(fields))
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -20,7 +20,7 @@
 class SlowConnection:
     """A connection that takes time to make and ends without an answer."""
 
-    def take(self, address, *, limit):
+    def acquire(self, address, *, limit):
         """Make it."""
         eventlet.sleep(CONNECT_S)
         return self
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from bergamotsaddle_serving.follower import StoreFollower, batch_pause
-from bergamotsaddle_serving.messages import Page
+from bergamotsaddle_serving.messages import StorePage
 from tests._paused import advance
 
 ANSWER_S = 0.004
@@ -32,8 +32,8 @@
         beyond that are refused, and views fall behind when they are needed most.
         """
         dialect = mock.Mock()
-        dialect.read_page.return_value = Page([], 1, False)
-        view = mock.Mock(revision=1, has_listed=True)
+        dialect.read_page.return_value = StorePage([], 1, False)
+        view = mock.Mock(revision=1, has_snapshot=True)
         view.apply.return_value = True
         follower = StoreFollower(mock.Mock(), dialect, view, lambda: 65, mock.Mock())
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -111,7 +111,7 @@
 
     def observe(self, number, key):
         fact = self.instances[number].gossip.note(TOPIC, key, 1.0)
-        self.exchanges[number].tell([fact])
+        self.exchanges[number].publish([fact])
 
     def knowing(self, key):
         return sum(instance.value(key) is not None for instance in self.instances)
--- a/tests/test_greetings.py
+++ b/tests/test_greetings.py
@@ -6,7 +6,7 @@
 from parameterized import parameterized
 
 from bergamotsaddle_serving.greetings import MOST_AT_ONCE, Greetings
-from bergamotsaddle_serving.peers import HELLO_INTERVAL_S
+from bergamotsaddle_serving.peers import HEARTBEAT_INTERVAL_S
 
 FLEET = [f"10.0.0.{n}" for n in range(65)]
 ZONE = FLEET[:21]
@@ -39,10 +39,10 @@
         starts = [chance.getrandbits(16) for _ in ZONE]
         rounds = heard_rounds(FLEET[40], ZONE, starts)
         gaps = [b - a for a, b in zip(rounds, rounds[1:], strict=False)]
-        self.assertLess(max(gaps) * HELLO_INTERVAL_S, 0.5)
+        self.assertLess(max(gaps) * HEARTBEAT_INTERVAL_S, 0.5)
         together = heard_rounds(FLEET[40], ZONE, [0] * len(ZONE))
         gaps = [b - a for a, b in zip(together, together[1:], strict=False)]
-        self.assertGreater(max(gaps) * HELLO_INTERVAL_S, 0.9)
+        self.assertGreater(max(gaps) * HEARTBEAT_INTERVAL_S, 0.9)
 
     @parameterized.expand([("others", False, 7), ("owners", True, 4)])
     def test_everybody_is_greeted_in_turn(self, _, owns_queues, rounds):
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -104,7 +104,7 @@
         [
             ("cut", lambda fleet, owner: fleet.peers.cut_off(owner.own.zone)),
             ("killed", lambda fleet, owner: fleet.peers.kill(owner.own.id)),
-            ("stopped", lambda fleet, owner: setattr(owner, "takes_work", False)),
+            ("stopped", lambda fleet, owner: setattr(owner, "accepts_work", False)),
         ]
     )
     def test_a_limit_holds_while_its_owner_changes(self, _, harm):
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -10,10 +10,10 @@
 from bergamotsaddle_platform.dialect import PlatformDialect
 from bergamotsaddle_serving.attempt import Attempt, NotRunError
 from bergamotsaddle_serving.catalog import Target
-from bergamotsaddle_serving.client import IncomingHead
+from bergamotsaddle_serving.client import RawResponseHead
 from bergamotsaddle_serving.gossip import Gossip
 from bergamotsaddle_serving.health import TargetState
-from bergamotsaddle_serving.messages import AnswerHead
+from bergamotsaddle_serving.messages import ResponseHead
 from bergamotsaddle_serving.named_limits import NamedLimits
 from tests._paused import use_paused_clock
 
@@ -36,7 +36,7 @@
     )
     def test_limit(self, _, value, limit):
         headers = [] if value is None else [(b"server-limit", value)]
-        self.assertEqual(PlatformDialect().read_answer(headers).limit, limit)
+        self.assertEqual(PlatformDialect().read_response(headers).limit, limit)
 
 
 class NamedLimitsTest(unittest.TestCase):
@@ -99,13 +99,13 @@
         noted = []
         state = TargetState(TARGET, lambda target, limit: noted.append(limit))
         connection = mock.Mock()
-        connection.read_head.return_value = IncomingHead(status, [])
+        connection.read_head.return_value = RawResponseHead(status, [])
         dialect = mock.Mock()
-        dialect.read_answer.return_value = AnswerHead(
+        dialect.read_response.return_value = ResponseHead(
             "", True, not_run, None, None, False, limit
         )
         pool = mock.Mock()
-        pool.take.return_value = connection
+        pool.acquire.return_value = connection
         attempt = Attempt(mock.MagicMock(), state, pool, dialect)
         with contextlib.suppress(NotRunError), attempt:
             attempt.send(mock.MagicMock(), limit=1.0)
--- a/tests/test_peer_discovery.py
+++ b/tests/test_peer_discovery.py
@@ -63,17 +63,17 @@
     def test_an_inquiry_is_answered_at_once(self):
         """Guards against zones that seem silent between two rounds of heartbeats."""
         for peers in self.fleet:
-            peers.greet = lambda: None
+            peers.send_heartbeats = lambda: None
         advance(1.0)
-        self.inside.inquire("a")
+        self.inside.request_heartbeat("a")
         advance(0.01)
-        self.assertGreaterEqual(self.inside.zone_heard_at("a"), now() - 0.01)
+        self.assertGreaterEqual(self.inside.zone_last_seen_at("a"), now() - 0.01)
 
     def test_an_owner_beyond_a_cut_is_not_asked(self):
         """Guards against waiting for owners of a zone that is known to be cut off."""
         self.fleet.cut_off("c")
         advance(SETTLE_S)
-        self.inside.is_cut_off = lambda zone: zone != "c"
+        self.inside.is_zone_unreachable = lambda zone: zone != "c"
         self.assertEqual(self.zone_of(self.owner()), "c")
 
     def test_a_silent_owner_is_not_asked_again_before_it_is_heard(self):
@@ -115,7 +115,7 @@
     def test_an_owner_that_stops_is_left_by_all_at_once(self):
         """Guards against pieces that go on to an owner about to end."""
         owner = next(peers for peers in self.fleet if peers.own.id == self.owner)
-        owner.takes_work = False
+        owner.accepts_work = False
         advance(0.5)
         self.assertNotIn(self.owner, self.fleet.owners("encode"))
 
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -10,7 +10,7 @@
 from bergamotsaddle_contracts.ini import Address
 from bergamotsaddle_platform.dialect import PlatformDialect
 from bergamotsaddle_serving.catalog import Kind, Target, Team
-from bergamotsaddle_serving.messages import Dispatch, Entry, Piece, PromptPart
+from bergamotsaddle_serving.messages import Dispatch, Piece, PromptPart, StoreEntry
 
 DIALECT = PlatformDialect()
 TARGET = Target("i-1", "svc", Address("10.0.0.1", 80), "a", 4)
@@ -123,7 +123,7 @@
         self.assertEqual(raised.exception.kind, ErrorKind.BAD_REQUEST)
 
     def test_answers(self):
-        answer = DIALECT.read_answer(
+        answer = DIALECT.read_response(
             [
                 (b"x-request-id", b"r1"),
                 (b"x-response-seal", b"s"),
@@ -131,9 +131,9 @@
                 (b"keep-alive", b"timeout=10"),
             ]
         )
-        self.assertTrue(answer.is_sealed)
+        self.assertTrue(answer.is_signed)
         self.assertFalse(answer.not_run)
-        self.assertEqual((answer.load.running, answer.keep_seconds), (3, 10.0))
+        self.assertEqual((answer.load.running, answer.keep_alive_seconds), (3, 10.0))
 
 
 class StoreTest(unittest.TestCase):
@@ -141,7 +141,7 @@
 
     def decode(self, key, value):
         """Decode an item."""
-        return DIALECT.decode(Entry(key, 1, msgspec.json.encode(value)))
+        return DIALECT.decode(StoreEntry(key, 1, msgspec.json.encode(value)))
 
     def test_configuration(self):
         found = self.decode("op/config", CONFIG)
@@ -151,7 +151,7 @@
         self.assertEqual((route.kind, route.objective), (Kind.STREAM, 1.0))
         self.assertIsNone(found.find_route("api.example", "/z"))
         batching = found.services_by_name["s"].batching
-        self.assertEqual((batching.size, batching.room_bytes), (4, 18e6))
+        self.assertEqual((batching.size, batching.memory_bytes), (4, 18e6))
         self.assertEqual(found.team_by_key["secret"], Team("t", 1))
         self.assertEqual(found.limits.body_bytes, 99)
 
@@ -165,7 +165,7 @@
     )
     def test_malformed_configurations(self, _, value):
         with self.assertRaises(ValueError):
-            DIALECT.decode(Entry("op/config", 1, value))
+            DIALECT.decode(StoreEntry("op/config", 1, value))
 
     def test_pages(self):
         value = base64.b64encode(b"{}").decode()
@@ -208,7 +208,7 @@
     def test_results(self):
         body = b'{"items":[{"handle":"10.0.0.7:80/h"},{"reason":"gone"}]}'
         made, unmade = DIALECT.read_results(body)
-        self.assertEqual(DIALECT.maker(made.handle), Address("10.0.0.7", 80))
+        self.assertEqual(DIALECT.result_address(made.handle), Address("10.0.0.7", 80))
         self.assertEqual((unmade.handle, unmade.reason), ("", "gone"))
 
     @parameterized.expand([(b"[]",), (b'{"items":[1]}',), (b"x",), (b"{}",)])
@@ -221,7 +221,7 @@
 
         Taken at its word, an empty target was left alone for 0.3 s after each refusal.
         """
-        self.assertEqual(DIALECT.read_room(b'{"freeMb":0}'), 1e6)
-        self.assertEqual(DIALECT.read_room(b'{"freeMb":1.5}'), 1.5e6)
+        self.assertEqual(DIALECT.read_free_memory(b'{"freeMb":0}'), 1e6)
+        self.assertEqual(DIALECT.read_free_memory(b'{"freeMb":1.5}'), 1.5e6)
         with self.assertRaises(ValueError):
-            DIALECT.read_room(b'{"freeMb":true}')
+            DIALECT.read_free_memory(b'{"freeMb":true}')
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -66,7 +66,7 @@
         ) as encode:
             sent = self.peers.sent
             self.peers._send_bytes = mock.Mock()
-            self.peers.greet()
+            self.peers.send_heartbeats()
         self.assertEqual(encode.call_count, 1)
         self.assertGreater(self.peers._send_bytes.call_count, 1)
         self.assertEqual(self.peers.sent, sent)
@@ -77,9 +77,9 @@
 
     def test_coming_pieces_are_summed_by_queue(self):
         told = [
-            mock.Mock(coming=[("encode", "a", [1, 0, 2, 0, 0, 0])]),
-            mock.Mock(coming=[("encode", "a", [0, 3, 0, 0, 0, 0])]),
-            mock.Mock(coming=[("rerank", "b", [5, 0, 0, 0, 0, 0])]),
+            mock.Mock(pending=[("encode", "a", [1, 0, 2, 0, 0, 0])]),
+            mock.Mock(pending=[("encode", "a", [0, 3, 0, 0, 0, 0])]),
+            mock.Mock(pending=[("rerank", "b", [5, 0, 0, 0, 0, 0])]),
         ]
         roster = Roster(told, [], least_part=0.5, region=lambda zone: zone)
         self.assertEqual(
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -9,7 +9,7 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.catalog import Target
 from bergamotsaddle_serving.owners import rank_owners
-from bergamotsaddle_serving.peer_messages import Contact, Hello
+from bergamotsaddle_serving.peer_messages import Contact, Heartbeat
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.scopes import MOST_SHARED, Scopes
 from bergamotsaddle_serving.settings import (
@@ -40,17 +40,17 @@
     """The peers of an instance in zone a, without a network."""
     peers = Peers(SETTINGS, "life", mock.Mock())
     peers.send_to = mock.Mock()
-    peers.takes_work = True
+    peers.accepts_work = True
     return peers
 
 
-def hear(peers, name, zone, *, takes_work=True, strength=1.0):
+def hear(peers, name, zone, *, accepts_work=True, cores=1.0):
     """Have an instance send a heartbeat."""
     contact = Contact(name, zone, f"127.0.1.{len(peers.by_id) + 1}")
-    hello = Hello(
-        contact, f"life of {name}", takes_work, 1, {}, [], {}, {}, strength, []
+    hello = Heartbeat(
+        contact, f"life of {name}", accepts_work, 1, {}, [], {}, {}, cores, []
     )
-    peers._hear(hello, ("127.0.0.1", 9))
+    peers._handle_heartbeat(hello, ("127.0.0.1", 9))
 
 
 def known(zone, count):
@@ -97,7 +97,7 @@
         """
         advance(2.0)
         self.assertEqual(rank_owners(self.peers, "encode", "east"), ["me"])
-        self.assertEqual(self.peers.zone_heard_at("b"), now() - 2.0)
+        self.assertEqual(self.peers.zone_last_seen_at("b"), now() - 2.0)
 
     def test_strong_machines_own_queues(self):
         """Two of six machines of a region have several times the cores of the others.
@@ -107,9 +107,9 @@
         """
         peers = make_peers()
         for number in range(3):
-            hear(peers, f"weak{number}", "a", strength=0.4)
+            hear(peers, f"weak{number}", "a", cores=0.4)
         for number in range(2):
-            hear(peers, f"strong{number}", "b", strength=2.2)
+            hear(peers, f"strong{number}", "b", cores=2.2)
         self.assertEqual(set(peers.owners("east")), {"strong0", "strong1"})
         self.assertEqual(peers.owners("a"), ["me"])
 
@@ -118,13 +118,13 @@
 
         As the owner of a queue it would turn every piece away.
         """
-        hear(self.peers, "b1", "b", takes_work=False)
+        hear(self.peers, "b1", "b", accepts_work=False)
         self.assertEqual(self.peers.owners("east"), ["me"])
-        self.peers.takes_work = False
+        self.peers.accepts_work = False
         hear(self.peers, "b1", "b")
         self.assertEqual(self.peers.owners("east"), ["b1"])
 
     def test_a_life_is_known_while_it_is_heard(self):
-        self.assertEqual(self.peers.life_of("b1"), "life of b1")
+        self.assertEqual(self.peers.incarnation_of("b1"), "life of b1")
         advance(2.0)
-        self.assertIsNone(self.peers.life_of("b1"))
+        self.assertIsNone(self.peers.incarnation_of("b1"))
--- a/tests/test_serving_caller.py
+++ b/tests/test_serving_caller.py
@@ -122,7 +122,7 @@
         client.sendall((HEAD + b"Content-Length: 1\r\n\r\na") * 2)
         for _ in range(2):
             self.assertEqual(connection.read().body, b"a")
-            connection.answer(200, [], b"x")
+            connection.respond(200, [], b"x")
             self.assertTrue(connection.prepare_next())
         self.assertEqual(client.recv(1000).count(b"200"), 2)
 
@@ -134,9 +134,9 @@
         def work():
             client.sendall(HEAD + b"Content-Length: 1\r\n\r\nb")
             eventlet.sleep(0.02)
-            connection.answer(200, [], b"x")
+            connection.respond(200, [], b"x")
 
-        connection.serve(work)
+        connection.run_while_connected(work)
         self.assertTrue(connection.prepare_next())
         self.assertEqual(connection.read().body, b"b")
 
@@ -150,7 +150,7 @@
         connection.read()
         eventlet.spawn_after(0.02, client.close)
         with self.assertRaises(CallerLeftError):
-            connection.serve(lambda: eventlet.sleep(5))
+            connection.run_while_connected(lambda: eventlet.sleep(5))
 
     def test_a_stream_that_breaks_never_looks_whole(self):
         client, connection = pair()
@@ -170,6 +170,6 @@
         connection._is_stopping = lambda: True
         client.sendall(HEAD + b"\r\n")
         connection.read()
-        connection.answer(200, [], b"x")
+        connection.respond(200, [], b"x")
         self.assertIn(b"connection: close", client.recv(1000).lower())
         self.assertFalse(connection.prepare_next())
--- a/tests/test_serving_client.py
+++ b/tests/test_serving_client.py
@@ -61,7 +61,7 @@
     connection = Connection(script.address)
     connection.send(REQUEST, limit=limit)
     head = connection.read_head(limit=limit)
-    return head.status, connection.read_body(limit=limit, most=100)
+    return head.status, connection.read_body(limit=limit, max_bytes=100)
 
 
 class AnswerTest(unittest.TestCase):
@@ -119,8 +119,8 @@
         connection.send(REQUEST._replace(body=b"b" * 9_000_000, headers=[
             (b"host", b"t"), (b"content-length", b"9000000")]), limit=1.0)  # fmt: skip
         self.assertEqual(connection.read_head(limit=0.5).status, 200)
-        connection.read_body(limit=0.5, most=10)
-        self.assertFalse(connection.can_be_kept())
+        connection.read_body(limit=0.5, max_bytes=10)
+        self.assertFalse(connection.prepare_next())
         connection.close()
 
 
@@ -130,13 +130,13 @@
     def take_twice(self, script, *, pause=0.02):
         """Ask once, give the connection back, take one again after a pause."""
         pool = ConnectionPool()
-        first = pool.take(script.address)
+        first = pool.acquire(script.address)
         first.send(REQUEST, limit=0.3)
         first.read_head(limit=0.3)
-        first.read_body(limit=0.3, most=100)
-        pool.give(first, 5.0)
+        first.read_body(limit=0.3, max_bytes=100)
+        pool.release(first, 5.0)
         eventlet.sleep(pause)
-        return first, pool.take(script.address)
+        return first, pool.acquire(script.address)
 
     def test_a_good_one_is_used_again(self):
         first, second = self.take_twice(Script(WHOLE, WHOLE, then="keep"))
@@ -161,17 +161,17 @@
     def test_one_that_is_about_to_end_is_not(self):
         script = Script(WHOLE, then="keep")
         pool = ConnectionPool()
-        connection = pool.take(script.address)
+        connection = pool.acquire(script.address)
         connection.send(REQUEST, limit=0.3)
         connection.read_head(limit=0.3)
-        connection.read_body(limit=0.3, most=100)
-        pool.give(connection, 0.5)
-        self.assertIsNot(pool.take(script.address), connection)
+        connection.read_body(limit=0.3, max_bytes=100)
+        pool.release(connection, 0.5)
+        self.assertIsNot(pool.acquire(script.address), connection)
 
     def test_nobody_there(self):
         listener = eventlet.listen(("127.0.0.1", 0))
         address = Address(*listener.getsockname())
         listener.close()
         with self.assertRaises(ConnectionLostError) as raised:
-            ConnectionPool().take(address)
+            ConnectionPool().acquire(address)
         self.assertTrue(raised.exception.is_unsent)
--- a/tests/test_serving_metrics.py
+++ b/tests/test_serving_metrics.py
@@ -13,7 +13,7 @@
         for seconds in (0.05, 0.3, 30.0):
             metrics.count_request("plans", "whole", seconds)
         metrics.count_request("plans", "not_ready", 0.01)
-        metrics.gauge("peers_alive", "Peers.", lambda: 7)
+        metrics.add_gauge("peers_alive", "Peers.", lambda: 7)
         lines = metrics.page().decode().splitlines()
         name = "bergamotsaddle_request"
         for line in (
--- a/tests/test_serving_settings.py
+++ b/tests/test_serving_settings.py
@@ -53,8 +53,8 @@
     def test_strength_is_that_of_the_weaker_part(self):
         text = TEXT + "\n[capacity]\ncpu_share = 0.5\ncpus = 4\nlink_mbps = 10\n"
         settings = parse_settings(text, name="daemon.ini")
-        self.assertEqual(settings.capacity.strength, 0.5)
-        self.assertEqual(parse_settings(TEXT, name="daemon.ini").capacity.strength, 1.0)
+        self.assertEqual(settings.capacity.cores, 0.5)
+        self.assertEqual(parse_settings(TEXT, name="daemon.ini").capacity.cores, 1.0)
 
     def test_mechanisms_are_in_force_unless_switched_off(self):
         text = TEXT + "\n[policy]\noff = home_zones, full_calls\n"
--- a/tests/test_serving_stop.py
+++ b/tests/test_serving_stop.py
@@ -82,7 +82,7 @@
         eventlet.spawn_n(handler.run, caller)
         eventlet.sleep(0.02)
         self.assertTrue(caller.is_idle)
-        caller.end_idle()
+        caller.close_idle()
         eventlet.sleep(0.02)
         others = [eventlet.connect(listener.getsockname()) for _ in range(3)]
         eventlet.sleep(0.02)
--- a/tests/test_serving_view.py
+++ b/tests/test_serving_view.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from bergamotsaddle_platform.dialect import PlatformDialect
-from bergamotsaddle_serving.messages import Entry
+from bergamotsaddle_serving.messages import StoreEntry
 from bergamotsaddle_serving.view import LAPSE_GRACE_S, View
 from tests._paused import advance
 
@@ -27,7 +27,7 @@
 def entry(key, revision, value=None, **changes):
     """An item of the store; without a value a deletion."""
     body = None if value is None else msgspec.json.encode(value | changes)
-    return Entry(key, revision, body)
+    return StoreEntry(key, revision, body)
 
 
 def make_view():
@@ -66,7 +66,7 @@
         instances no stage would be done.
         """
         seen = []
-        self.view.watch(lambda: seen.append(self.view.is_complete()))
+        self.view.subscribe(lambda: seen.append(self.view.is_complete()))
         self.view.replace([entry("op/config", 4, CONFIG)], 4, source="test")
         self.assertEqual(seen, [True])
 
@@ -107,7 +107,7 @@
         """
         self.apply(entry("servers/t", 4, TARGET))
         advance(1.0)
-        self.view.store_back_at = self.now()
+        self.view.store_regained_at = self.now()
         self.apply(entry("servers/t", 5))
         self.assertEqual(self.ids(), ["t"])
         advance(LAPSE_GRACE_S + 0.1)
@@ -116,7 +116,7 @@
 
     def test_an_entry_that_is_back_in_time_stays(self):
         self.apply(entry("servers/t", 4, TARGET))
-        self.view.store_back_at = self.now()
+        self.view.store_regained_at = self.now()
         self.apply(entry("servers/t", 5))
         self.apply(entry("servers/t", 6, TARGET))
         advance(LAPSE_GRACE_S + 0.1)
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -13,7 +13,12 @@
 from bergamotsaddle_serving.catalog import Kind, Route, Share, Stage
 from bergamotsaddle_serving.client import ConnectionLostError
 from bergamotsaddle_serving.gossip import Gossip
-from bergamotsaddle_serving.messages import Entry, PieceResult, RequestHead, Unmade
+from bergamotsaddle_serving.messages import (
+    PieceFailure,
+    PieceResult,
+    RequestHead,
+    StoreEntry,
+)
 from bergamotsaddle_serving.peer_messages import Contact, Release, Started, Submit
 from bergamotsaddle_serving.policy import FULL_POLICY
 from bergamotsaddle_serving.stage_exchange import StageExchange
@@ -51,7 +56,7 @@
         key="k",
         inputs=[],
         urgency=0,
-        has_begun=False,
+        has_started=False,
         result_bytes=9_000_000,
         input_bytes=0,
         zone="a",
@@ -84,7 +89,7 @@
 
     def _result(self, target, piece, what, is_lost):
         if is_lost:
-            return PieceResult("", Unmade.GONE)
+            return PieceResult("", PieceFailure.GONE)
         if isinstance(what, dict) and piece.key.number in what:
             return PieceResult("", what[piece.key.number])
         self._made += 1
@@ -97,7 +102,7 @@
         self.released += handles
         self.live -= set(handles)
 
-    def ask_room(self, target):
+    def query_free_memory(self, target):
         """Free room."""
         return 18e6
 
@@ -110,9 +115,9 @@
         self.peers = mock.Mock(own=Contact("me", "a", "127.0.0.1"))
         self.peers.alive.return_value = []
         self.peers.owners.return_value = ["me"]
-        self.peers.life_of.return_value = "life"
+        self.peers.incarnation_of.return_value = "life"
         self.peers.region.side_effect = lambda zone: zone
-        self.peers.inhabited.side_effect = lambda: (
+        self.peers.active_zones.side_effect = lambda: (
             {peer.contact.zone for peer in self.peers.alive()} | {"a"}
         )
         self.view = View(dialect, mock.Mock())
@@ -120,7 +125,7 @@
         self.reach = mock.Mock()
         self.reach.is_lost.return_value = False
         self.suspects = Suspects(
-            Gossip(), lambda facts: None, self.view.releases, mock.Mock()
+            Gossip(), lambda facts: None, self.view.software_versions, mock.Mock()
         )
         pool = mock.Mock(is_refused=lambda address: True)
         self.owner = StageOwner(
@@ -133,7 +138,7 @@
             ends=TargetEnds(pool, self.view, self.suspects),
         )
         self.exchange = StageExchange(self.peers, self.owner)
-        config = Entry("op/config", 1, msgspec.json.encode(CONFIG))
+        config = StoreEntry("op/config", 1, msgspec.json.encode(CONFIG))
         encode = target_entry("t1", "encode", 81)
         rerank = target_entry("t2", "rerank", 82)
         self.view.apply([config, encode, rerank], 82, source="test")
@@ -231,7 +236,7 @@
             return take_batch(queue, *args, **kwargs)
 
         take_batch = StageQueue.take_batch
-        self.calls.script = [dict.fromkeys(range(4), Unmade.NO_ROOM)] * 9
+        self.calls.script = [dict.fromkeys(range(4), PieceFailure.NO_MEMORY)] * 9
         with mock.patch.object(StageQueue, "take_batch", look):
             for number in range(600):
                 self.owner.submit(make_submission(f"r{number}"), "me")
@@ -261,7 +266,7 @@
         Doing all of them again would cost a call of which most is not needed, and
         the results that are there would be held for nothing.
         """
-        self.calls.script = [{1: Unmade.ERROR}]
+        self.calls.script = [{1: PieceFailure.ERROR}]
         self.start()
         end = self.finish(1.2)
         self.assertEqual(len(end.handles), 3)
@@ -290,7 +295,7 @@
             self.finish(1.5)
         self.calls.calls.clear()
         self.start((1, 1, 1), CHAIN, name="r2")
-        self.calls.script = [None, None, {0: Unmade.ERROR}]
+        self.calls.script = [None, None, {0: PieceFailure.ERROR}]
         end = self.finish(2.0)
         self.assertEqual(len(end.handles), 1)
         stages = [pieces[0][1] for _, pieces in self.calls.calls]
@@ -303,7 +308,7 @@
 
     def test_a_zone_that_is_taken_out_gets_no_further_piece(self):
         self.start()
-        evacuation = Entry("op/evacuate/a", 90, b"{}")
+        evacuation = StoreEntry("op/evacuate/a", 90, b"{}")
         self.view.apply([evacuation], 90, source="test")
         advance(5.0)
         self.assertLessEqual(len(self.calls.calls), 1)
@@ -337,7 +342,7 @@
             key="k",
             inputs=[],
             urgency=0,
-            has_begun=False,
+            has_started=False,
             result_bytes=8_000,
             input_bytes=0,
             zone="a",
@@ -348,7 +353,7 @@
         self.owner.submit(submit, "other")
         advance(0.3)
         self.assertEqual(len(self.calls.live), 4)
-        self.peers.life_of.return_value = "another life"
+        self.peers.incarnation_of.return_value = "another life"
         self.owner.drop_orphans()
         advance(1.0)
         self.assertEqual(self.calls.live, set())
@@ -418,7 +423,7 @@
         self.finish(2.0)
         self.assertIn("t3", {target for target, _ in self.calls.calls})
         self.peers.alive.return_value = [
-            mock.Mock(contact=Contact("other", "b", "127.0.0.2"), takes_work=True)
+            mock.Mock(contact=Contact("other", "b", "127.0.0.2"), accepts_work=True)
         ]
         self.owner.hand_over()
         self.calls.calls.clear()
@@ -436,7 +441,7 @@
         self.start((8, 0))
         self.finish(2.0)
         self.peers.alive.return_value = [
-            mock.Mock(contact=Contact("other", "b", "127.0.0.2"), takes_work=True)
+            mock.Mock(contact=Contact("other", "b", "127.0.0.2"), accepts_work=True)
         ]
         self.owner.hand_over()
         self.run_.release()
@@ -450,7 +455,7 @@
         self.assertEqual(accepted.load, self.owner.loads()["encode"])
         self.peers.id_of.return_value = "owner"
         self.exchange._take_acknowledgement(accepted, ("127.0.0.2", 7000))
-        self.peers.note_load.assert_called_with("owner", "encode", accepted.load)
+        self.peers.record_load.assert_called_with("owner", "encode", accepted.load)
 
     def test_targets_without_pieces_wake_nobody(self):
         """Guards against timers of each target on each instance of a large fleet."""
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -24,7 +24,7 @@
     values = {
         "key": PieceKey(request, 0, number),
         "urgency": 0,
-        "has_begun": False,
+        "has_started": False,
         "objective_at": 1.0,
         "expires_at": 4.0,
         "result_bytes": SMALL,
@@ -67,7 +67,7 @@
             ("earlier", piece("a", objective_at=0.9), piece("b")),
             ("urgent", piece("a"), piece("b", urgency=1, objective_at=0.5)),
             ("on_time", piece("a", urgency=2), piece("b", objective_at=0.1)),
-            ("begun", piece("a", has_begun=True), piece("b", objective_at=0.5)),
+            ("begun", piece("a", has_started=True), piece("b", objective_at=0.5)),
         ]
     )
     def test_first(self, _, first, second):
@@ -196,9 +196,9 @@
         for number in range(8):
             queue.add(piece("a", number, urgency=2))
         drains = queue.drains(1, 0.1, 1.0)
-        self.assertAlmostEqual(drains[place(0, has_begun=False)], 0.1)
-        self.assertAlmostEqual(drains[place(2, has_begun=True)], 0.1)
-        self.assertGreater(drains[place(2, has_begun=False)], 0.5)
+        self.assertAlmostEqual(drains[place(0, has_started=False)], 0.1)
+        self.assertAlmostEqual(drains[place(2, has_started=True)], 0.1)
+        self.assertGreater(drains[place(2, has_started=False)], 0.5)
 
     def test_begun_requests_are_not_overtaken_for_ever(self):
         """A chat waits for its second stage while summaries keep coming to it.
@@ -207,10 +207,12 @@
         result of its first stage until it expires, and all work for it would be lost.
         """
         queue = StageQueue(FOUR_A_CALL)
-        queue.add(piece("chat", urgency=2, has_begun=True, objective_at=1.0))
+        queue.add(piece("chat", urgency=2, has_started=True, objective_at=1.0))
         for number in range(8):
             due = 1.2 + 0.1 * number
-            queue.add(piece(f"s{number}", urgency=1, has_begun=True, objective_at=due))
+            queue.add(
+                piece(f"s{number}", urgency=1, has_started=True, objective_at=due)
+            )
         taken = requests(queue.take_batch(0.0, 18e6))
         self.assertIn("chat", taken)
         self.assertEqual(taken[0], "s0")
@@ -223,11 +225,11 @@
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(4):
-            queue.add(piece("begun", number, urgency=2, has_begun=True))
+            queue.add(piece("begun", number, urgency=2, has_started=True))
             queue.add(piece("fresh", number, urgency=0))
         drains = queue.drains(1, 0.0, 1.0)
-        begun = drains[place(2, has_begun=True)]
-        self.assertAlmostEqual(drains[place(0, has_begun=False)], 2 * begun)
+        begun = drains[place(2, has_started=True)]
+        self.assertAlmostEqual(drains[place(0, has_started=False)], 2 * begun)
         self.assertEqual(requests(queue.take_batch(0.0, 18e6)), ["begun"])
 
     def test_late_newcomers_leave_a_long_queue(self):
@@ -240,7 +242,7 @@
         for number in range(12):
             queue.add(piece(f"r{number}", objective_at=5.0))
         queue.add(piece("late", objective_at=1.0))
-        queue.add(piece("begun", objective_at=1.0, has_begun=True, expires_at=9.0))
+        queue.add(piece("begun", objective_at=1.0, has_started=True, expires_at=9.0))
         self.assertEqual(queue.take_expired(1.2), [])
         self.assertEqual(requests(queue.take_expired(1.4)), ["late"])
 
@@ -270,7 +272,7 @@
         """
         free = OtherTarget("a", free_in=0.1, room_bytes=18e6)
         queue = StageQueue(FOUR_A_CALL)
-        queue.add(piece("a", has_begun=True, zone="a", zone_bytes=480_000))
+        queue.add(piece("a", has_started=True, zone="a", zone_bytes=480_000))
         self.assertEqual(queue.take_batch(0.0, 18e6, zone="b", others=[free]), [])
         batch = queue.take_batch(0.0, 18e6, zone="a")
         self.assertEqual(requests(batch), ["a"])
--- a/tests/test_target_ends.py
+++ b/tests/test_target_ends.py
@@ -22,11 +22,11 @@
         use_paused_clock()
         self.view = mock.Mock()
         self.view.is_leaving.return_value = False
-        self.view.has_life.return_value = True
+        self.view.has_incarnation.return_value = True
         self.pool = mock.Mock()
         self.suspects = mock.Mock()
         self.ends = TargetEnds(self.pool, self.view, self.suspects)
-        ((self.note_view,), _) = self.view.watch.call_args
+        ((self.note_view,), _) = self.view.subscribe.call_args
 
     def fail(self, reason="closed", *, is_refused=False):
         self.pool.is_refused.return_value = is_refused
@@ -57,7 +57,7 @@
         """Guards against ends that go unseen as the next life listens already."""
         self.fail()
         advance(after)
-        self.view.has_life.return_value = False
+        self.view.has_incarnation.return_value = False
         self.note_view()
         self.assertEqual(self.suspects.note_end.call_count, ends)
 
@@ -65,7 +65,7 @@
         self.fail()
         self.view.is_leaving.return_value = True
         self.note_view()
-        self.view.has_life.return_value = False
+        self.view.has_incarnation.return_value = False
         self.note_view()
         self.suspects.note_end.assert_not_called()
 
@@ -86,7 +86,7 @@
 
     def test_somebody(self):
         self.assertFalse(self.pool.is_refused(self.address))
-        self.pool.take(self.address)
+        self.pool.acquire(self.address)
         self.assertEqual(self.pool.opened, 1, "the connection is kept for a request")
 
     def test_nobody_answers(self):
--- a/tests/test_target_totals.py
+++ b/tests/test_target_totals.py
@@ -16,14 +16,19 @@
     """What one instance tells in a heartbeat."""
 
     running: dict[str, int]
-    reading: dict[str, int]
+    prefill_tokens: dict[str, int]
 
 
 def choose(totals):
     """Choose an engine with what others told."""
     views = [
         EngineView(
-            name, "a", 64, totals.running[name], totals.reading[name], knows=False
+            name,
+            "a",
+            64,
+            totals.running[name],
+            totals.prefill_tokens[name],
+            knows=False,
         )
         for name in NAMES
     ]
@@ -49,5 +54,5 @@
         told = [Told({"e1": 2}, {"e1": 500}), Told({"e1": 1, "e2": 4}, {})]
         totals = TargetTotals(told)
         self.assertEqual(totals.running, {"e1": 3, "e2": 4})
-        self.assertEqual(totals.reading["e1"], 500)
-        self.assertEqual(totals.reading["e2"], 0)
+        self.assertEqual(totals.prefill_tokens["e1"], 500)
+        self.assertEqual(totals.prefill_tokens["e2"], 0)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -20,8 +20,8 @@
     size=4,
     call_seconds=0.2,
     piece_seconds=0.04,
-    room_bytes=9e6,
-    keep_seconds=4.0,
+    memory_bytes=9e6,
+    ttl_seconds=4.0,
 )
 
 
--- a/tests/test_view_follower.py
+++ b/tests/test_view_follower.py
@@ -9,7 +9,7 @@
 
 from bergamotsaddle_serving.client import ConnectionLostError
 from bergamotsaddle_serving.follower import StoreFollower
-from bergamotsaddle_serving.messages import Entry, Page
+from bergamotsaddle_serving.messages import StoreEntry, StorePage
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.server import SETTLE_S
 from bergamotsaddle_serving.store_readers import STORE, pick_reader
@@ -47,7 +47,7 @@
     def write(self, key, value):
         """Write an item, or delete it."""
         self.revision += 1
-        self.entries[key] = Entry(key, self.revision, value)
+        self.entries[key] = StoreEntry(key, self.revision, value)
         changed, self.changed = self.changed, Event()
         changed.send()
 
@@ -63,14 +63,14 @@
         kind, after, wait = call
         if kind == "list":
             live = [e for e in self.entries.values() if e.value is not None]
-            return OK, Page(live, self.revision)
+            return OK, StorePage(live, self.revision)
         if after < self.forgotten:
             return GONE, b""
         with eventlet.Timeout(wait, False):
             while self.revision <= after:
                 self.changed.wait()
         news = [e for e in self.entries.values() if e.revision > after]
-        return OK, Page(news, self.revision)
+        return OK, StorePage(news, self.revision)
 
 
 class FakeDialect:
@@ -102,7 +102,7 @@
         self.contact = contact
         self._world = world
 
-    def ask(self, question):
+    def query(self, question):
         """Ask, unless the other one is dead or frozen."""
         world, name = self._world, self.contact.id
         if name in world.dead:
@@ -138,7 +138,7 @@
         self.exchange = ViewExchange(
             settings, self.view, peers, SILENT, self.store.is_refused
         )
-        self.exchange.link = lambda contact: FakeLink(world, contact)
+        self.exchange.connect = lambda contact: FakeLink(world, contact)
         self.follower = ViewFollower(
             self.store, self.exchange, self.view, peers, SILENT
         )
@@ -150,7 +150,7 @@
 
     def end(self):
         """End it as a kill does."""
-        self.peers.greet = lambda: None
+        self.peers.send_heartbeats = lambda: None
         for thread in self.threads:
             thread.kill()
 
@@ -315,7 +315,7 @@
         live = [e for e in store.entries.values() if e.value is not None]
         new.replace(live, store.revision, source="store")
         changes = new.changes_since(old.revision)
-        self.assertTrue(changes.is_whole)
+        self.assertTrue(changes.is_snapshot)
         old.replace(changes.entries, new.revision, source="peer")
         keys = {e.key for e in old.changes_since(-1).entries}
         self.assertEqual(keys, {KEY})
--- a/tests/test_zone_reach.py
+++ b/tests/test_zone_reach.py
@@ -11,7 +11,7 @@
 from bergamotsaddle_serving.budget import ColdPace
 from bergamotsaddle_serving.client import ConnectionLostError
 from bergamotsaddle_serving.health import Health
-from bergamotsaddle_serving.messages import Entry
+from bergamotsaddle_serving.messages import StoreEntry
 from bergamotsaddle_serving.peer_messages import Contact
 from bergamotsaddle_serving.selector import Selector
 from bergamotsaddle_serving.target_totals import TargetTotals
@@ -33,7 +33,7 @@
     def setUp(self):
         dialect = PlatformDialect()
         self.view = View(dialect, mock.Mock())
-        config = Entry("op/config", 1, msgspec.json.encode(CONFIG))
+        config = StoreEntry("op/config", 1, msgspec.json.encode(CONFIG))
         entries = [
             config,
             target_entry("t1", "encode", 81, "b"),
@@ -43,12 +43,12 @@
         self.view.apply(entries, 83, source="test")
         self.dead = set()
         self.pool = mock.Mock()
-        self.pool.take.side_effect = self._take
+        self.pool.acquire.side_effect = self._take
         self.peers = mock.Mock(own=Contact("me", "a", "127.0.0.1"))
         self.peers.alive.return_value = []
         self.peers.totals.return_value = TargetTotals()
         self.heard_at = now()
-        self.peers.zone_heard_at.side_effect = lambda zone: self.heard_at
+        self.peers.zone_last_seen_at.side_effect = lambda zone: self.heard_at
         self.reach = ZoneReach(self.view, self.peers, self.pool, dialect, mock.Mock())
         self.thread = eventlet.spawn(self.reach.run)
         self.addCleanup(self.thread.kill)
@@ -103,23 +103,23 @@
         def hear(_):
             self.heard_at = now()
 
-        self.peers.inquire.side_effect = hear
+        self.peers.request_heartbeat.side_effect = hear
         advance(10.0)
-        self.peers.inquire.assert_called_with("b")
-        self.pool.take.assert_not_called()
+        self.peers.request_heartbeat.assert_called_with("b")
+        self.pool.acquire.assert_not_called()
 
     def test_a_lost_zone_is_probed_less_and_less(self):
         """Guards against thousands of probes by a large fleet during a cut."""
         self.dead = {81, 82}
         advance(10.0)
         self.assertTrue(self.reach.is_lost("b"))
-        self.assertLess(self.pool.take.call_count, 10)
+        self.assertLess(self.pool.acquire.call_count, 10)
 
     def test_an_instance_that_starts_listens_first(self):
         """Guards against probes by all instances of a fleet that is restarted."""
         self.heard_at = float("-inf")
         advance(0.4)
-        self.pool.take.assert_not_called()
+        self.pool.acquire.assert_not_called()
 
     def test_the_own_zone_is_never_asked(self):
         self.dead = {81, 82, 83}
