--- a/packages/serving/bergamotsaddle_serving/_stage_worker.py
+++ b/packages/serving/bergamotsaddle_serving/_stage_worker.py
@@ -9,7 +9,7 @@
 from bergamotsaddle_serving.catalog import Batching, Target
 from bergamotsaddle_serving.peer_messages import PieceOutcome
 from bergamotsaddle_serving.policy import Policy
-from bergamotsaddle_serving.result_room import ResultRoom
+from bergamotsaddle_serving.result_memory import ResultMemory
 from bergamotsaddle_serving.stage_queue import (
     OtherTarget,
     PieceKey,
@@ -35,7 +35,7 @@
 
     def __init__(self, target: Target, batching: Batching) -> None:
         self.target = target
-        self.room = ResultRoom(batching.memory_bytes, batching.ttl_seconds)
+        self.room = ResultMemory(batching.memory_bytes, batching.ttl_seconds)
         self.pace = 1.0
         self.free_at = 0.0
         self.full_call_by = 0.0
@@ -116,7 +116,7 @@
         self.done_by_key[key] = done
         _trim(self.done_by_key)
         stage = StageKey(key.request, key.stage, key.round)
-        self.wait_errors.note_done(stage, now())
+        self.wait_errors.record_piece_done(stage, now())
 
     def take_results(self, requests: set[str]) -> list[str]:
         """Forget the results of requests; their handles."""
@@ -145,7 +145,7 @@
             OtherTarget(
                 other.target.zone,
                 max(0.0, other.free_at - moment),
-                other.room.left(moment),
+                other.room.free_bytes(moment),
             )
             for other in self.fit_workers()
             if other is not worker
--- a/packages/serving/bergamotsaddle_serving/admission.py
+++ b/packages/serving/bergamotsaddle_serving/admission.py
@@ -78,7 +78,7 @@
     return random.uniform(least, most)
 
 
-def spread_out(wait: float | None) -> float | None:
+def add_jitter(wait: float | None) -> float | None:
     """When a caller should come back for whom there is room after a wait.
 
     Args:
--- a/packages/serving/bergamotsaddle_serving/attempt.py
+++ b/packages/serving/bergamotsaddle_serving/attempt.py
@@ -126,7 +126,7 @@
         try:
             connection = self._pool.acquire(dispatch.target.address, limit=limit)
         except ConnectionLostError as error:
-            self._state.fail(is_certain=True)
+            self._state.record_failure(is_certain=True)
             raise NotRunError(error.reason) from error
         self._connection = connection
         context.progress.is_sent = True
@@ -136,7 +136,7 @@
                 on_sent(size)
             head = self._await_head(connection, limit, most or limit)
         except ConnectionLostError as error:
-            self._state.fail(is_certain=False)
+            self._state.record_failure(is_certain=False)
             raise UnknownRunError(error.reason) from error
         return self._check(head)
 
@@ -149,7 +149,7 @@
             try:
                 return connection.read_head(limit=min(limit, ends_at - asked_at))
             except ConnectionLostError as error:
-                is_busy = self._state.heard_at > asked_at
+                is_busy = self._state.last_seen_at > asked_at
                 if error.reason != "silent" or not is_busy or now() >= ends_at:
                     raise
 
@@ -162,7 +162,7 @@
         try:
             body = self._connection.read_body(limit=limit, max_bytes=most)
         except ConnectionLostError as error:
-            self._state.fail(is_certain=False)
+            self._state.record_failure(is_certain=False)
             raise UnknownRunError(error.reason) from error
         self._give_back()
         return body
@@ -176,9 +176,9 @@
         try:
             data = self._connection.read_some(limit=limit)
         except ConnectionLostError as error:
-            self._state.fail(is_certain=False)
+            self._state.record_failure(is_certain=False)
             raise UnknownRunError(error.reason) from error
-        self._state.heard_at = now()
+        self._state.last_seen_at = now()
         if data is None:
             self._give_back()
         return data
@@ -186,22 +186,22 @@
     def _check(self, head: RawResponseHead) -> Reply:
         answer = self._dialect.read_response(head.headers)
         self._keep = answer.keep_alive_seconds
-        self._state.note_load(answer.load)
+        self._state.record_load(answer.load)
         if answer.limit is not None:
-            self._state.note_limit(answer.limit)
+            self._state.record_limit(answer.limit)
         if answer.not_run or head.status == _MISDIRECTED:
             self._drain()
             raise NotRunError("refused", head.status)
         if answer.request_id and answer.request_id != self._context.head.id:
             # A late answer to an earlier request: this one's may still come, but
             # which bytes are whose can't be told any more on this connection.
-            self._state.fail(is_certain=False)
+            self._state.record_failure(is_certain=False)
             raise UnknownRunError("crossed")
         if answer.is_encoded or (head.status in _SUCCESS and not answer.is_signed):
-            self._state.fail(is_certain=False)
+            self._state.record_failure(is_certain=False)
             raise UnknownRunError("unsigned")
         # A refusal may leave the limit out; only an answer that ran ends it.
-        self._state.note_limit(answer.limit)
+        self._state.record_limit(answer.limit)
         return Reply(head, answer)
 
     def _drain(self) -> None:
--- a/packages/serving/bergamotsaddle_serving/budget.py
+++ b/packages/serving/bergamotsaddle_serving/budget.py
@@ -52,7 +52,7 @@
         """Count a caller's request for a service."""
         self._window(self._plain_by_service, service).add()
 
-    def take(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Use one extra call if there is one left."""
         extra = self._window(self._extra_by_service, service)
         if extra.count() + 1 > self._allowed(service):
@@ -60,7 +60,7 @@
         extra.add()
         return True
 
-    def left(self, service: str) -> float:
+    def remaining(self, service: str) -> float:
         """Extra calls that are left."""
         extra = self._window(self._extra_by_service, service)
         return self._allowed(service) - extra.count()
@@ -78,7 +78,7 @@
         return window
 
 
-class ColdPace:
+class ColdRateLimiter:
     """Spaces the requests of one instance to cold targets.
 
     A cold target crashes when all instances together send more than it bears; callers
@@ -98,7 +98,7 @@
         """Tell whether a cold target may get a request now."""
         return now() >= self._next_by_target.get(target_id, 0.0)
 
-    def note_sent(self, target_id: str, rate: float) -> None:
+    def record_sent(self, target_id: str, rate: float) -> None:
         """Note a request to a cold target that bears so many a second."""
         size = max(_LEAST_FLEET, self._fleet_size())
         self._next_by_target[target_id] = now() + size / max(rate, 0.1)
--- a/packages/serving/bergamotsaddle_serving/engine_choice.py
+++ b/packages/serving/bergamotsaddle_serving/engine_choice.py
@@ -38,7 +38,7 @@
     slots: int
     running: int
     tokens_ahead: int
-    knows: bool
+    has_cached_prefix: bool
     delay: float = 0.0
 
 
@@ -72,7 +72,7 @@
     return max(0, prompt_tokens - shared)
 
 
-def set_apart(engines: Sequence[EngineView], work: str) -> list[EngineView]:
+def isolate_engine(engines: Sequence[EngineView], work: str) -> list[EngineView]:
     """The engine for a request under which another one has ended.
 
     What runs beside it may be lost, so it goes where little runs; and two such requests
@@ -128,10 +128,10 @@
     choices = []
     for place, engine in enumerate(by_weight):
         is_home = place == 0
-        tokens = own_tokens if is_home or engine.knows else prompt_tokens
+        tokens = own_tokens if is_home or engine.has_cached_prefix else prompt_tokens
         finish = _finish_seconds(engine, tokens, tokens_per_s)
         total = stage_seconds(engine.zone) + finish
-        reason = "home" if is_home else "known" if engine.knows else "free"
+        reason = "home" if is_home else "known" if engine.has_cached_prefix else "free"
         idle = _BASE_S + tokens / tokens_per_s
         choices.append(EngineChoice(engine, total, finish, idle, reason))
     home = choices[0]
--- a/packages/serving/bergamotsaddle_serving/gossip.py
+++ b/packages/serving/bergamotsaddle_serving/gossip.py
@@ -60,7 +60,7 @@
         self._table_by_topic: dict[str, _Table] = {}
         self._digest = 0
 
-    def open(
+    def subscribe(
         self,
         topic: Topic,
         watcher: Watcher,
@@ -77,7 +77,7 @@
         """
         self._table_by_topic[topic.name] = _Table(topic, watcher, worth)
 
-    def note(self, topic: Topic, key: str, value: float) -> Fact | None:
+    def record(self, topic: Topic, key: str, value: float) -> Fact | None:
         """Note what this instance has just observed.
 
         Returns:
@@ -90,7 +90,7 @@
             return None
         return Fact(topic.name, key, value, 0.0)
 
-    def hear(self, facts: Sequence[Fact]) -> None:
+    def merge(self, facts: Sequence[Fact]) -> None:
         """Take in what another instance told."""
         moment = now()
         for fact in facts:
@@ -106,7 +106,7 @@
         held = self._table_by_topic[topic.name].held_by_key.get(key)
         return None if held is None else held.value
 
-    def forget_old(self) -> None:
+    def drop_expired(self) -> None:
         """Forget facts that are past their time."""
         moment = now()
         for table in self._table_by_topic.values():
--- a/packages/serving/bergamotsaddle_serving/gossip_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/gossip_exchange.py
@@ -55,7 +55,7 @@
         self._peers = peers
         self._fresh: list[Fact] = []
         self._differing_by_peer: dict[str, _Differing] = {}
-        peers.set_handler(GossipUpdate, lambda message, _: gossip.hear(message.facts))
+        peers.set_handler(GossipUpdate, lambda message, _: gossip.merge(message.facts))
         peers.own_digest = lambda: gossip.digest
         peers.on_heartbeat = self._compare
 
@@ -63,7 +63,7 @@
         """Tell all that live what is new.
 
         Args:
-            facts: What ``Gossip.note`` gave; None is passed over.
+            facts: What ``Gossip.record`` gave; None is passed over.
         """
         news = [fact for fact in facts if fact is not None]
         if news and not self._fresh:
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -161,7 +161,7 @@
             head = self._dialect.read_head(raw.method, raw.path, raw.headers)
             request_id = head.id
             context = self._context(head, raw)
-            if self._suspects.is_held_back(context.work):
+            if self._suspects.is_quarantined(context.work):
                 raise context.hold_back()
             self._budget.count_request(context.service.name)
             self._run(caller, context)
--- a/packages/serving/bergamotsaddle_serving/health.py
+++ b/packages/serving/bergamotsaddle_serving/health.py
@@ -34,21 +34,21 @@
         self.latency = _FIRST_LATENCY_S
         self.failures = 0
         self.rest_until = 0.0
-        self.heard_at = 0.0
+        self.last_seen_at = 0.0
         self.load: TargetLoad | None = None
         self.load_at = 0.0
 
-    def is_resting(self) -> bool:
+    def is_backing_off(self) -> bool:
         """Tell whether it has failed lately."""
         return now() < self.rest_until
 
-    def note_load(self, load: TargetLoad | None) -> None:
+    def record_load(self, load: TargetLoad | None) -> None:
         """Note what it says of its load."""
         if load is not None:
             self.load = load
             self.load_at = now()
 
-    def note_limit(self, limit: float | None) -> None:
+    def record_limit(self, limit: float | None) -> None:
         """Note the limit that an answer names, None if it names none."""
         self._on_limit(self.target, limit)
 
@@ -58,13 +58,13 @@
             return 0
         return self.load.waiting
 
-    def succeed(self, seconds: float) -> None:
+    def record_success(self, seconds: float) -> None:
         """Note an answer and how long it took."""
         self.failures = 0
-        self.heard_at = now()
+        self.last_seen_at = now()
         self.latency += _LATENCY_WEIGHT * (seconds - self.latency)
 
-    def fail(self, *, is_certain: bool) -> None:
+    def record_failure(self, *, is_certain: bool) -> None:
         """Note a failure.
 
         Args:
@@ -107,7 +107,7 @@
             if life not in lives and not state.in_flight:
                 del self._state_by_life[life]
 
-    def reading(self) -> dict[str, int]:
+    def prefill_tokens(self) -> dict[str, int]:
         """Prompt tokens of this instance's requests that engines have still to read."""
         return {
             state.target.id: state.prompt_tokens_ahead
--- a/packages/serving/bergamotsaddle_serving/greetings.py
+++ b/packages/serving/bergamotsaddle_serving/heartbeat_schedule.py
@@ -4,22 +4,22 @@
 from collections.abc import Sequence
 
 # Heartbeats sent in a round at most; a larger fleet is gone through in turn.
-MOST_AT_ONCE = 10
+MAX_HEARTBEATS_PER_ROUND = 10
 # With more peers than this a heartbeat is seconds old when the next one comes, and says
 # little more than that its sender lives. Half as many then do.
 _MANY_PEERS = 100
-_FEW_AT_ONCE = MOST_AT_ONCE // 2
+_FEW_AT_ONCE = MAX_HEARTBEATS_PER_ROUND // 2
 # Instances that own stage queues send so many: all others admit requests by the loads
 # that they tell.
-_OWNERS_AT_ONCE = 2 * MOST_AT_ONCE
+_OWNERS_AT_ONCE = 2 * MAX_HEARTBEATS_PER_ROUND
 
 
 def fan_out(peers: int) -> int:
     """Heartbeats that an instance sends in a round unless it owns queues."""
-    return MOST_AT_ONCE if peers <= _MANY_PEERS else _FEW_AT_ONCE
+    return MAX_HEARTBEATS_PER_ROUND if peers <= _MANY_PEERS else _FEW_AT_ONCE
 
 
-class Greetings:
+class HeartbeatSchedule:
     """The turns in which one instance greets its peers.
 
     Each instance begins at another peer. Did all of them begin at the same one, a peer
--- a/packages/serving/bergamotsaddle_serving/named_limits.py
+++ b/packages/serving/bergamotsaddle_serving/named_limits.py
@@ -36,9 +36,9 @@
         self._tell = tell
         self._logger = logger
         self._limit_by_key: dict[str, float] = {}
-        gossip.open(_LIMITS, self._hear, worth=lambda key: _WORTH)
+        gossip.subscribe(_LIMITS, self._hear, worth=lambda key: _WORTH)
 
-    def note(self, target: Target, limit: float | None) -> None:
+    def record(self, target: Target, limit: float | None) -> None:
         """Note what an answer of a target says.
 
         Args:
@@ -48,7 +48,7 @@
         key = _key(target)
         if limit is None and key not in self._limit_by_key:
             return
-        fact = self._gossip.note(_LIMITS, key, _NONE if limit is None else limit)
+        fact = self._gossip.record(_LIMITS, key, _NONE if limit is None else limit)
         if fact is None:
             return
         self._logger.warning("limit_named", target=target.id, limit=limit)
--- a/packages/serving/bergamotsaddle_serving/peers.py
+++ b/packages/serving/bergamotsaddle_serving/peers.py
@@ -11,7 +11,11 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.datagrams import DatagramSocket
 from bergamotsaddle_serving.failure_detector import FailureDetector
-from bergamotsaddle_serving.greetings import MOST_AT_ONCE, Greetings, fan_out
+from bergamotsaddle_serving.heartbeat_schedule import (
+    MAX_HEARTBEATS_PER_ROUND,
+    HeartbeatSchedule,
+    fan_out,
+)
 from bergamotsaddle_serving.peer_messages import (
     Contact,
     Datagram,
@@ -122,7 +126,7 @@
         self._roster_at = float("-inf")
         self._heard_at_by_zone: dict[str, float] = {}
         self._turn = 0
-        self._greetings = Greetings()
+        self._greetings = HeartbeatSchedule()
         self._detector = FailureDetector(
             lambda peer_id: self.send(peer_id, HeartbeatRequest()),
             self._heard_at,
@@ -193,7 +197,7 @@
 
     def active_zones(self) -> set[str]:
         """Zones in which an instance takes work, this one's own zone among them."""
-        return self.roster().inhabited | {self.own.zone}
+        return self.roster().active_zones | {self.own.zone}
 
     def zone_last_seen_at(self, zone: str) -> float:
         """When any instance of a zone was heard last."""
@@ -325,7 +329,7 @@
             silent = (known | set(self._seeds)) - alive - {self.own.host}
             chosen = sorted(silent)
             random.shuffle(chosen)
-            extra = chosen[:MOST_AT_ONCE]
+            extra = chosen[:MAX_HEARTBEATS_PER_ROUND]
         else:
             extra = []
         picked = self._greetings.pick(hosts, owns_queues=owns_queues)
@@ -380,7 +384,7 @@
         if self.accepts_work:
             candidates.append((self.own, self._strength))
         return Roster(
-            alive, candidates, least_part=self._least_part, region=self.region
+            alive, candidates, min_cores_fraction=self._least_part, region=self.region
         )
 
     def _is_heard(self, peer: Peer) -> bool:
--- a/packages/serving/bergamotsaddle_serving/plain.py
+++ b/packages/serving/bergamotsaddle_serving/plain.py
@@ -4,7 +4,7 @@
 
 from bergamotsaddle_contracts.errors import ErrorKind, Ran, RequestError
 from bergamotsaddle_daemon.clock import now
-from bergamotsaddle_serving.admission import spread_out
+from bergamotsaddle_serving.admission import add_jitter
 from bergamotsaddle_serving.attempt import (
     PROMISES,
     Attempt,
@@ -16,7 +16,7 @@
 from bergamotsaddle_serving.context import Context
 from bergamotsaddle_serving.messages import Dialect, Dispatch, RawHeaders
 from bergamotsaddle_serving.selector import Candidate, Selector
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 
 _MAX_ANSWER_BYTES = 64_000_000
 _SERVER_ERROR = 500
@@ -57,7 +57,7 @@
         dialect: Dialect,
         logger: Any,
         *,
-        ends: TargetEnds,
+        ends: TargetCrashes,
     ) -> None:
         self._suspects = ends.suspects
         self._ends = ends
@@ -95,12 +95,14 @@
             except UnknownRunError as error:
                 self._note(context, candidate, error.reason, "unknown")
                 ran += 1
-                self._ends.note_failure(candidate.target, [context.work], error.reason)
-                if not can_repeat or self._suspects.is_held_back(context.work):
+                self._ends.record_failure(
+                    candidate.target, [context.work], error.reason
+                )
+                if not can_repeat or self._suspects.is_quarantined(context.work):
                     return self._give_up(context, failure, ran)
                 continue
             ran += 1
-            self._suspects.note_whole(candidate.target, context.work)
+            self._suspects.record_success(candidate.target, context.work)
             if answer.status < _SERVER_ERROR or not can_repeat:
                 return answer
             failure = answer
@@ -124,14 +126,14 @@
             if self._selector.reserve(candidate, context.head.id, context.urgency):
                 break
             denied.add(candidate.target.id)
-        if tried and not self._budget.take(context.service.name):
+        if tried and not self._budget.try_acquire(context.service.name):
             return None
         return candidate
 
     def _pick(self, context: Context, exclude: set[str]) -> Candidate | None:
         service = context.service.name
         if self._suspects.is_suspect(context.work):
-            return self._selector.pick_quiet(service, exclude, context.work)
+            return self._selector.pick_least_loaded(service, exclude, context.work)
         return self._selector.pick(service, exclude)
 
     def _try(
@@ -139,16 +141,16 @@
     ) -> WholeAnswer:
         state = candidate.state
         limit = context.remaining
-        if can_repeat and self._budget.left(context.service.name) >= 1:
+        if can_repeat and self._budget.remaining(context.service.name) >= 1:
             limit = min(limit, max(_LEAST_LIMIT_S, _SLOW_FACTOR * state.latency))
-        self._selector.note_sent(candidate, context.service)
+        self._selector.record_sent(candidate, context.service)
         with Attempt(context, state, self._pool, self._dialect) as attempt:
             dispatch = Dispatch(candidate.target, context.remaining, context.team)
             reply = attempt.send(dispatch, limit=limit)
             body = attempt.read_body(limit=limit, most=_MAX_ANSWER_BYTES)
             if reply.head.status in PROMISES:
                 raise UnknownRunError(f"status {reply.head.status}")
-            state.succeed(now() - attempt.began_at)
+            state.record_success(now() - attempt.began_at)
         headers = list(end_to_end_headers(reply.head.headers))
         return WholeAnswer(reply.head.status, headers, body)
 
@@ -162,7 +164,7 @@
             raise context.refuse(
                 ErrorKind.NO_TARGET,
                 "no target took the request",
-                retry_after=spread_out(wait),
+                retry_after=add_jitter(wait),
             )
         raise RequestError(
             ErrorKind.TARGET_FAILED, "the target broke off", ran=Ran.UNKNOWN
--- a/packages/serving/bergamotsaddle_serving/rate_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/rate_exchange.py
@@ -51,7 +51,7 @@
         """
         owner = self._owner_of(key, scope)
         if owner == self._peers.own.id:
-            return self._owner.ask(key, rate, urgency)
+            return self._owner.request_permit(key, rate, urgency)
         question = RateRequest(next(self._numbers), key, scope, rate, urgency)
         answer = self._answer_by_number[question.number] = Event()
         try:
@@ -80,7 +80,7 @@
     def _decide(self, message: RateRequest) -> float:
         if self._owner_of(message.key, message.scope) != self._peers.own.id:
             return _UNSETTLED_S
-        return self._owner.ask(message.key, message.rate, message.urgency)
+        return self._owner.request_permit(message.key, message.rate, message.urgency)
 
     def _take(self, message: RateResponse) -> None:
         answer = self._answer_by_number.get(message.number)
--- a/packages/serving/bergamotsaddle_serving/result_room.py
+++ b/packages/serving/bergamotsaddle_serving/result_memory.py
@@ -13,7 +13,7 @@
 REPORT_LAG_S = 0.6
 
 
-class ResultRoom:
+class ResultMemory:
     """The results that a target holds, as far as this owner made it produce them.
 
     Args:
@@ -33,7 +33,7 @@
         self._known: deque[tuple[float, float]] = deque()
         self._foreign_until = 0.0
 
-    def left(self, moment: float) -> float:
+    def free_bytes(self, moment: float) -> float:
         """Bytes that are free, as far as it is known."""
         left = self._uncounted(moment)
         if moment < self._foreign_until:
@@ -42,14 +42,14 @@
             return min(left, self._refused_size - 1)
         return left
 
-    def note_full(self, size: int, moment: float) -> None:
+    def record_full(self, size: int, moment: float) -> None:
         """Note that the target had no room for a result of a size."""
         if moment >= self._full_until:
             self._refusals = min(self._refusals + 1, _MOST_DOUBLINGS)
         self._full_until = moment + FULL_PAUSE_S * 2.0 ** (self._refusals - 1)
         self._refused_size = size
 
-    def correct(self, free: float, moment: float) -> None:
+    def reconcile(self, free: float, moment: float) -> None:
         """Take in what the target itself says is free.
 
         After an owner has died, the target still holds results that only the dead one
@@ -81,11 +81,11 @@
         self._reserved += size
         self._note_known(moment)
 
-    def end_reservation(self, size: int) -> None:
+    def release_reservation(self, size: int) -> None:
         """Give that room back when the call has ended."""
         self._reserved -= size
 
-    def hold(self, handle: str, size: int, moment: float) -> None:
+    def add(self, handle: str, size: int, moment: float) -> None:
         """Note a result."""
         self._refusals = 0
         self._held_by_handle[handle] = (moment + self._keep_seconds, size)
--- a/packages/serving/bergamotsaddle_serving/roster.py
+++ b/packages/serving/bergamotsaddle_serving/roster.py
@@ -37,12 +37,12 @@
         members: Sequence[Member],
         candidates: Sequence[tuple[Contact, float]],
         *,
-        least_part: float,
+        min_cores_fraction: float,
         region: Callable[[str], str],
     ) -> None:
         self.members = members
         self._candidates = candidates
-        self._least_part = least_part
+        self._least_part = min_cores_fraction
         self._region = region
         self._owners_by_scope: dict[str, list[str]] = {}
 
@@ -63,7 +63,7 @@
         return counts
 
     @cached_property
-    def inhabited(self) -> set[str]:
+    def active_zones(self) -> set[str]:
         """Zones in which another instance takes work."""
         return {member.contact.zone for member in self.members if member.accepts_work}
 
--- a/packages/serving/bergamotsaddle_serving/selector.py
+++ b/packages/serving/bergamotsaddle_serving/selector.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from bergamotsaddle_daemon._rendezvous import weigh
-from bergamotsaddle_serving.budget import ColdPace
+from bergamotsaddle_serving.budget import ColdRateLimiter
 from bergamotsaddle_serving.catalog import Service, Target
 from bergamotsaddle_serving.health import Health, TargetState
 from bergamotsaddle_serving.peers import Peers
@@ -50,7 +50,7 @@
         view: View,
         health: Health,
         peers: Peers,
-        cold: ColdPace,
+        cold: ColdRateLimiter,
         reach: ZoneReach,
         rates: TargetRates,
     ) -> None:
@@ -109,7 +109,7 @@
         found = self.candidates(service, exclude)
         return min(found, key=self._expected, default=None)
 
-    def pick_quiet(
+    def pick_least_loaded(
         self, service: str, exclude: set[str], work: str
     ) -> Candidate | None:
         """Pick the target of a plain service that has least to lose.
@@ -130,10 +130,10 @@
         """Tell whether a chosen target may still get the request."""
         return self._view.may_get_work(candidate.target)
 
-    def note_sent(self, candidate: Candidate, service: Service) -> None:
+    def record_sent(self, candidate: Candidate, service: Service) -> None:
         """Note that a request is about to be sent to a target."""
         if candidate.is_cold and service.cold_rate > 0:
-            self._cold.note_sent(candidate.target.id, service.cold_rate)
+            self._cold.record_sent(candidate.target.id, service.cold_rate)
 
     def _candidate(self, known: KnownTarget) -> Candidate:
         target = known.target
@@ -159,4 +159,4 @@
 
 def _rested(found: list[Candidate]) -> list[Candidate]:
     """Those that have not failed lately, all if there are none."""
-    return [c for c in found if not c.state.is_resting()] or found
+    return [c for c in found if not c.state.is_backing_off()] or found
--- a/packages/serving/bergamotsaddle_serving/server.py
+++ b/packages/serving/bergamotsaddle_serving/server.py
@@ -12,7 +12,7 @@
 
 from bergamotsaddle_contracts.errors import InvalidFileError
 from bergamotsaddle_daemon.clock import now
-from bergamotsaddle_serving.budget import ColdPace, RetryBudget
+from bergamotsaddle_serving.budget import ColdRateLimiter, RetryBudget
 from bergamotsaddle_serving.caller import CallerConnection
 from bergamotsaddle_serving.client import ConnectionPool
 from bergamotsaddle_serving.fetching import FetchTimes
@@ -39,7 +39,7 @@
 from bergamotsaddle_serving.stage_waits import StageWaits
 from bergamotsaddle_serving.streams import StreamServer
 from bergamotsaddle_serving.suspects import Suspects
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 from bergamotsaddle_serving.target_rates import TargetRates
 from bergamotsaddle_serving.usage import UsageMeter
 from bergamotsaddle_serving.view import View
@@ -108,7 +108,7 @@
         )
         self.reach = ZoneReach(self.view, self.peers, self.pool, dialect, logger)
         self.peers.is_zone_unreachable = self.reach.is_lost
-        self.reach.watch(self.peers.invalidate_roster)
+        self.reach.subscribe(self.peers.invalidate_roster)
         self.gossip = Gossip()
         self.gossip_exchange = GossipExchange(self.gossip, self.peers)
         self.suspects = Suspects(
@@ -118,9 +118,9 @@
             logger,
             policy,
         )
-        ends = TargetEnds(self.pool, self.view, self.suspects)
+        ends = TargetCrashes(self.pool, self.view, self.suspects)
         self.limits = NamedLimits(self.gossip, self.gossip_exchange.publish, logger)
-        self.health = Health(self.limits.note)
+        self.health = Health(self.limits.record)
         self.rate_owner = RateOwner(self.peers.reachable_fraction)
         rate_exchange = RateExchange(self.peers, self.rate_owner)
         self.rates = TargetRates(self.limits, rate_exchange, logger)
@@ -138,7 +138,7 @@
             ends=ends,
         )
         budget = RetryBudget(settings.bounds, self.peers.size)
-        cold = ColdPace(self.peers.size)
+        cold = ColdRateLimiter(self.peers.size)
         selector = Selector(
             self.view, self.health, self.peers, cold, self.reach, self.rates
         )
@@ -176,10 +176,10 @@
             suspects=self.suspects,
         )
         self.peers.own_loads = self.owner.loads
-        self.peers.own_pending = waits.coming.told
+        self.peers.own_pending = waits.pending.report
         self.peers.own_running = self.health.running
         if policy.has(Mechanism.SHARED_READING):
-            self.peers.own_prefill_tokens = self.health.reading
+            self.peers.own_prefill_tokens = self.health.prefill_tokens
         self.peers.own_revision = lambda: self.view.revision
         self.view.subscribe(self._note_view)
         self.view.subscribe(self.owner.open_queues)
@@ -281,7 +281,7 @@
             self._note_view()
             self.pool.prune()
             self.view.drop_lapsed()
-            self.gossip.forget_old()
+            self.gossip.drop_expired()
             self.rate_owner.forget_idle()
             self.owner.hand_over()
             self.owner.drop_orphans()
@@ -379,7 +379,7 @@
         gauge(
             "requests_held_back",
             "Requests that end their targets.",
-            lambda: len(self.suspects.held_back()),
+            lambda: len(self.suspects.quarantined()),
         )
         gauge("targets_limited", "Targets that name a limit.", lambda: len(self.limits))
         gauge("log_dropped", "Dropped log lines.", lambda: self._output.dropped)
--- a/packages/serving/bergamotsaddle_serving/shared_rate.py
+++ b/packages/serving/bergamotsaddle_serving/shared_rate.py
@@ -62,7 +62,7 @@
         self._heard_part = heard_part
         self._bucket_by_key: dict[str, _Bucket] = {}
 
-    def ask(self, key: str, rate: float, urgency: int) -> float:
+    def request_permit(self, key: str, rate: float, urgency: int) -> float:
         """Ask for a permit.
 
         Args:
--- a/packages/serving/bergamotsaddle_serving/stage_caller.py
+++ b/packages/serving/bergamotsaddle_serving/stage_caller.py
@@ -15,11 +15,11 @@
 from bergamotsaddle_serving.stage_queue import (
     QueuedPiece,
     is_large,
-    set_suspects_apart,
+    isolate_suspects,
 )
 from bergamotsaddle_serving.stage_releases import StageReleases
 from bergamotsaddle_serving.stage_results import Ended, StageResults
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 
 # A call that takes this many times its expected time, and a little, counts as lost: a
 # target without power never answers, while slow ones keep within it.
@@ -77,7 +77,7 @@
         policy: Policy = FULL_POLICY,
         fetch_times: FetchTimes = FAST_LINK,
         *,
-        ends: TargetEnds,
+        ends: TargetCrashes,
     ) -> None:
         self._ends = ends
         self._policy = policy
@@ -101,12 +101,12 @@
             if worker.failures and not self._ask_room(worker):
                 worker.rest()
                 continue
-            expired = queue.queue.take_expired(moment, worker.pace)
+            expired = queue.queue.pop_expired(moment, worker.pace)
             late = PieceResult("", PieceFailure.LATE)
             self._results.finish(queue, [(piece.key, late) for piece in expired])
-            batch = queue.queue.take_batch(
+            batch = queue.queue.pop_batch(
                 moment,
-                worker.room.left(moment),
+                worker.room.free_bytes(moment),
                 worker.pace,
                 may_wait=moment < worker.full_call_by,
                 zone=worker.target.zone,
@@ -124,11 +124,11 @@
     ) -> list[QueuedPiece]:
         """The pieces that may go into one call; others wait or are given up."""
         suspects = self._ends.suspects
-        fatal = [piece for piece in batch if suspects.is_held_back(piece.work)]
+        fatal = [piece for piece in batch if suspects.is_quarantined(piece.work)]
         failed = PieceResult("", PieceFailure.FAILED)
         self._results.finish(queue, [(piece.key, failed) for piece in fatal])
         harmless = [piece for piece in batch if piece not in fatal]
-        call, rest = set_suspects_apart(harmless, suspects.is_suspect)
+        call, rest = isolate_suspects(harmless, suspects.is_suspect)
         for piece in rest:
             queue.queue.add(piece)
         return call
@@ -166,13 +166,13 @@
         except (ConnectionLostError, ValueError) as error:
             reason = getattr(error, "reason", "")
             works = sorted({piece.work for piece in batch})
-            self._ends.note_failure(worker.target, works, reason)
+            self._ends.record_failure(worker.target, works, reason)
             self._fail(queue, worker, batch, str(error))
             return
         finally:
             if started is not None:
                 started.cancel()
-            worker.room.end_reservation(size)
+            worker.room.release_reservation(size)
             queue.running.difference_update(piece.key for piece in batch)
             worker.free_at = now()
             worker.full_call_by = now() + _ROOM_WAIT_S
@@ -183,7 +183,7 @@
             return
         worker.learn(now() - began_at, expected)
         for work in {piece.work for piece in batch}:
-            self._ends.suspects.note_whole(worker.target, work)
+            self._ends.suspects.record_success(worker.target, work)
         self._logger.info(
             "stage_call",
             service=queue.service,
@@ -194,7 +194,7 @@
             waiting=len(queue.queue),
             seconds=round(now() - began_at, 3),
             unmade=[result.reason for result in results if result.reason],
-            room=int(worker.room.left(now())),
+            room=int(worker.room.free_bytes(now())),
             requests=sorted({piece.key.request for piece in batch}),
         )
         if any(result.reason == PieceFailure.GONE for result in results):
@@ -214,8 +214,8 @@
             )
             return False
         worker.failures = 0
-        believed = worker.room.left(now())
-        worker.room.correct(free, now())
+        believed = worker.room.free_bytes(now())
+        worker.room.reconcile(free, now())
         self._logger.info(
             "room", target=worker.target.id, free=int(free), believed=int(believed)
         )
@@ -245,12 +245,12 @@
         for piece in batch:
             if piece.key.request in queue.cancelled:
                 continue
-            if piece.tries >= _MAX_TRIES:
+            if piece.failed_calls >= _MAX_TRIES:
                 failed = PieceResult("", PieceFailure.FAILED)
                 self._results.finish(queue, [(piece.key, failed)])
                 continue
-            tries = piece.tries + (reason == PieceFailure.FAILED)
-            queue.queue.add(piece._replace(tries=tries))
+            failed_calls = piece.failed_calls + (reason == PieceFailure.FAILED)
+            queue.queue.add(piece._replace(failed_calls=failed_calls))
         queue.wake()
 
     def _take_results(
@@ -265,11 +265,11 @@
         needless: list[str] = []
         for piece, result in zip(batch, results, strict=True):
             if result.handle:
-                worker.room.hold(result.handle, piece.result_bytes, moment)
+                worker.room.add(result.handle, piece.result_bytes, moment)
             if piece.key.request in queue.cancelled:
                 needless += [result.handle] if result.handle else []
             elif result.reason == PieceFailure.NO_MEMORY:
-                worker.room.note_full(piece.result_bytes, moment)
+                worker.room.record_full(piece.result_bytes, moment)
                 queue.queue.add(piece)
             else:
                 ended.append((piece.key, result))
--- a/packages/serving/bergamotsaddle_serving/stage_calls.py
+++ b/packages/serving/bergamotsaddle_serving/stage_calls.py
@@ -110,6 +110,6 @@
         head, body = connection.exchange(call, limit=limit, max_bytes=_MAX_BODY)
         answer = self._dialect.read_response(head.headers)
         if answer.limit is not None or head.status == _OK:
-            self._limits.note(target, answer.limit)
+            self._limits.record(target, answer.limit)
         self._pool.release(connection, answer.keep_alive_seconds)
         return head.status, body
--- a/packages/serving/bergamotsaddle_serving/stage_load.py
+++ b/packages/serving/bergamotsaddle_serving/stage_load.py
@@ -66,7 +66,7 @@
     load: StageLoad
 
 
-class Coming:
+class PendingWork:
     """Pieces of admitted requests that will come to a stage later.
 
     Answers bursts of requests with chains of stages. The queue of a chain's last stage
@@ -90,11 +90,11 @@
         if not any(counts):
             del self._counts[service, scope]
 
-    def before(self, service: str, scope: str, urgency: int) -> int:
+    def pieces_ahead(self, service: str, scope: str, urgency: int) -> int:
         """Pieces of this or a higher urgency that will come."""
         counts = self._counts.get((service, scope))
         return sum(counts[: level(urgency) + 1]) if counts else 0
 
-    def told(self) -> list[tuple[str, str, list[int]]]:
+    def report(self) -> list[tuple[str, str, list[int]]]:
         """All counts, to be told to others."""
         return [(*name, counts) for name, counts in self._counts.items()]
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -31,7 +31,7 @@
 )
 from bergamotsaddle_serving.stage_releases import StageReleases
 from bergamotsaddle_serving.stage_results import StageResults
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 from bergamotsaddle_serving.view import View
 from bergamotsaddle_serving.wait_errors import StageKey
 from bergamotsaddle_serving.zone_reach import ZoneReach
@@ -73,7 +73,7 @@
         policy: Policy = FULL_POLICY,
         fetch_times: FetchTimes = FAST_LINK,
         *,
-        ends: TargetEnds,
+        ends: TargetCrashes,
     ) -> None:
         self._view = view
         self._policy = policy
@@ -95,7 +95,7 @@
             ends=ends,
         )
         view.subscribe(self._retire)
-        reach.watch(self._retire)
+        reach.subscribe(self._retire)
 
     def submit(self, message: Submit, sender: str) -> Accepted | Results:
         """Take pieces into the queue.
@@ -150,7 +150,7 @@
         load = self._load(queue)
         expected = load[turn] + load[PLACES]
         pieces = len(message.numbers)
-        queue.wait_errors.note_begun(stage, turn, pieces, expected, now())
+        queue.wait_errors.record_start(stage, turn, pieces, expected, now())
 
     def cancel(self, message: Cancel) -> None:
         """Drop what waits for a request, and mark what runs as not needed."""
--- a/packages/serving/bergamotsaddle_serving/stage_plan.py
+++ b/packages/serving/bergamotsaddle_serving/stage_plan.py
@@ -35,15 +35,15 @@
         load: Callable[[str, str, int], ScopeLoad],
         *,
         urgency: int,
-        began_at: float,
+        started_at: float,
         finish_seconds: float,
         policy: Policy = FULL_POLICY,
     ) -> None:
         self._policy = policy
         self._route = route
         self.zone = zone
-        self._began_at = began_at
-        self._last_end = began_at
+        self._began_at = started_at
+        self._last_end = started_at
         self._finish_seconds = finish_seconds
         count = len(route.stages)
         self.pieces = (*pieces[:count], *[0] * (count - len(pieces)))
@@ -144,7 +144,7 @@
         """Seconds since the last stage ended, or since the begin."""
         return moment - self._last_end
 
-    def note_done(self, moment: float) -> None:
+    def record_stage_done(self, moment: float) -> None:
         """Note the end of a stage."""
         self._last_end = moment
 
--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -79,7 +79,7 @@
     input_key: str
     inputs: tuple[str, ...]
     input_bytes: int = 0
-    tries: int = 0
+    failed_calls: int = 0
     zone: str = ""
     zone_bytes: float = 0.0
     work: str = ""
@@ -117,7 +117,7 @@
     return (not is_open, is_late, piece.urgency, piece.objective_at, piece.key)
 
 
-def set_suspects_apart(
+def isolate_suspects(
     batch: Sequence[QueuedPiece], is_suspect: Callable[[str], bool]
 ) -> tuple[list[QueuedPiece], list[QueuedPiece]]:
     """Keep requests under which targets have ended out of the calls of others.
@@ -193,7 +193,7 @@
         for key in [k for k in self.piece_by_key if k.request == request]:
             del self.piece_by_key[key]
 
-    def take_expired(self, moment: float, pace: float = 1.0) -> list[QueuedPiece]:
+    def pop_expired(self, moment: float, pace: float = 1.0) -> list[QueuedPiece]:
         """Take out pieces that wait for nothing.
 
         These are the ones that can't be done in time, and in a queue of more than two
@@ -221,7 +221,7 @@
             return False
         return moment > piece.objective_at + _LATE_GRACE_S
 
-    def take_batch(
+    def pop_batch(
         self,
         moment: float,
         room_bytes: float,
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -22,7 +22,7 @@
     Submit,
 )
 from bergamotsaddle_serving.stage_exchange import StageExchange
-from bergamotsaddle_serving.stage_load import Coming
+from bergamotsaddle_serving.stage_load import PendingWork
 from bergamotsaddle_serving.stage_plan import StagePlan
 
 # An owner acknowledges within a few ms; after this it is asked again, and after two
@@ -107,7 +107,7 @@
         urgency: int,
         deadline_at: float,
         spread: Callable[[str, int, int], list[tuple[str, int]]],
-        coming: Coming,
+        coming: PendingWork,
         keep_seconds: Callable[[str], float],
         first_round: int = 0,
         work: str = "",
@@ -358,7 +358,7 @@
         if failed:
             self._fail(*failed[0])
         if self._stage_is_done(message.stage):
-            self._plan.note_done(now())
+            self._plan.record_stage_done(now())
             self._ended_by_stage[message.stage] = now()
             self._release_inner()
 
--- a/packages/serving/bergamotsaddle_serving/stage_waits.py
+++ b/packages/serving/bergamotsaddle_serving/stage_waits.py
@@ -7,7 +7,12 @@
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
-from bergamotsaddle_serving.stage_load import Coming, ScopeLoad, StageLoad, urgency_of
+from bergamotsaddle_serving.stage_load import (
+    PendingWork,
+    ScopeLoad,
+    StageLoad,
+    urgency_of,
+)
 from bergamotsaddle_serving.stage_owner import StageOwner
 from bergamotsaddle_serving.stage_plan import StagePlan
 from bergamotsaddle_serving.view import View
@@ -48,12 +53,12 @@
         self._view = view
         self._peers = peers
         self._owner = owner
-        self.coming = Coming()
+        self.pending = PendingWork()
         self._load_by_queue: dict[tuple[str, str, int], StageLoad | None] = {}
         self._loads_at = float("-inf")
         self._known_changes = 0
 
-    def best(self, service: str, zone: str, turn: int) -> ScopeLoad:
+    def best_scope(self, service: str, zone: str, turn: int) -> ScopeLoad:
         """Load at the queue of a zone, or at another one that is done earlier."""
         scope = self._owner.scopes.of(service, zone)
         loads = self._loads(service, turn)
@@ -86,7 +91,7 @@
             return scope
         return best
 
-    def spread(
+    def choose_queues(
         self, service: str, stage: Stage, count: int, turn: int, plan: StagePlan
     ) -> list[tuple[str, int]]:
         """Choose the queues of a stage's pieces.
@@ -107,7 +112,7 @@
         share, extra = divmod(count, len(scopes))
         return [(name, share + (n < extra)) for n, name in enumerate(scopes)]
 
-    def keep_seconds(self, service: str) -> float:
+    def ttl_seconds(self, service: str) -> float:
         """How long targets of a stage service keep results."""
         declared = self._view.configuration.services_by_name.get(service)
         if declared is None or declared.batching is None:
@@ -153,10 +158,10 @@
         # together would all be admitted by the load before the first of them.
         moment = now()
         is_old = moment - self._loads_at > _SAME_LOADS_S
-        if is_old or self._known_changes != self.coming.changes:
+        if is_old or self._known_changes != self.pending.changes:
             self._load_by_queue.clear()
             self._loads_at = moment
-            self._known_changes = self.coming.changes
+            self._known_changes = self.pending.changes
 
     def _ask_load(self, service: str, scope: str, turn: int) -> StageLoad | None:
         owners = rank_owners(self._peers, service, scope)
@@ -176,7 +181,7 @@
         if not self._policy.has(Mechanism.COMING_PIECES):
             return 0
         urgency = urgency_of(turn)
-        ahead = self.coming.before(service, scope, urgency)
+        ahead = self.pending.pieces_ahead(service, scope, urgency)
         told = self._peers.roster().coming_by_queue.get((service, scope), ())
         return ahead + sum(told[: urgency + 1])
 
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -10,9 +10,9 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.admission import (
     Forecast,
+    add_jitter,
     admits,
     retry_after,
-    spread_out,
 )
 from bergamotsaddle_serving.attempt import (
     PROMISES,
@@ -29,8 +29,8 @@
     EngineChoice,
     EngineView,
     choose_engine,
+    isolate_engine,
     prefix_key,
-    set_apart,
     unshared_tokens,
 )
 from bergamotsaddle_serving.events import EventSplitter
@@ -43,8 +43,8 @@
 from bergamotsaddle_serving.stage_plan import StagePlan
 from bergamotsaddle_serving.stage_run import StageRun
 from bergamotsaddle_serving.stage_waits import StageWaits
-from bergamotsaddle_serving.target_ends import TargetEnds
-from bergamotsaddle_serving.urgency_mix import UrgencyMix
+from bergamotsaddle_serving.target_crashes import TargetCrashes
+from bergamotsaddle_serving.urgency_distribution import UrgencyDistribution
 
 _MAX_ANSWER_BYTES = 1_000_000
 # How long an engine is taken to know shared parts that it read for this instance.
@@ -92,7 +92,7 @@
         policy: Policy = FULL_POLICY,
         fetch_times: FetchTimes = FAST_LINK,
         *,
-        ends: TargetEnds,
+        ends: TargetCrashes,
     ) -> None:
         self.policy = policy
         self.suspects = ends.suspects
@@ -105,7 +105,7 @@
         self.budget = budget
         self.dialect = dialect
         self.logger = logger
-        self.mix = UrgencyMix()
+        self.mix = UrgencyDistribution()
         self._known_until: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def serve(self, context: Context, caller: CallerConnection) -> None:
@@ -114,7 +114,7 @@
         Raises:
             RequestError: If nothing of the answer has been sent yet.
         """
-        self.mix.note(context.urgency, now())
+        self.mix.record(context.urgency, now())
         run = _StreamRun(self, context, caller)
         try:
             run.run()
@@ -128,7 +128,7 @@
         key = prefix_key(head.prompt)
         views = [self._view(candidate, key) for candidate in found]
         if self.suspects.is_suspect(context.work):
-            views = set_apart(views, context.work)
+            views = isolate_engine(views, context.work)
         seconds_by_zone = {
             zone: self.stage_seconds(context, zone) for zone in {v.zone for v in views}
         }
@@ -151,9 +151,9 @@
             context.route,
             context.head.pieces,
             zone,
-            self.waits.best,
+            self.waits.best_scope,
             urgency=context.urgency,
-            began_at=context.began_at,
+            started_at=context.began_at,
             finish_seconds=finish,
             policy=self.policy,
         )
@@ -276,7 +276,7 @@
             objective=context.began_at + context.route.objective - now(),
             left=context.first_by - now(),
         )
-        more_urgent = self._server.mix.more_urgent(context.urgency)
+        more_urgent = self._server.mix.more_urgent_fraction(context.urgency)
         is_admitted = admits(forecast, more_urgent, self._server.policy)
         self._server.logger.info(
             "admit" if is_admitted else "turn_away",
@@ -314,15 +314,15 @@
             self._server.logger,
             urgency=context.urgency,
             deadline_at=context.first_by,
-            spread=lambda service, stage, count: self._server.waits.spread(
+            spread=lambda service, stage, count: self._server.waits.choose_queues(
                 service,
                 context.route.stages[stage],
                 count,
                 place(context.urgency, has_started=bool(plan.predecessors(stage))),
                 plan,
             ),
-            coming=self._server.waits.coming,
-            keep_seconds=self._server.waits.keep_seconds,
+            coming=self._server.waits.pending,
+            keep_seconds=self._server.waits.ttl_seconds,
             first_round=first_round,
             work=context.work,
         )
@@ -352,10 +352,10 @@
             return False
         if not self._use_permit(choice):
             return False
-        if self._was_sent and not self._server.budget.take(context.service.name):
+        if self._was_sent and not self._server.budget.try_acquire(context.service.name):
             raise self._end("no repeats are left")
         self._check_harmless()
-        self._server.selector.note_sent(candidate, context.service)
+        self._server.selector.record_sent(candidate, context.service)
         self._was_sent = True
         try:
             self._send(candidate, choice)
@@ -366,17 +366,17 @@
         except UnknownRunError as error:
             self._note(candidate, error.reason, "unknown")
             target = candidate.target
-            self._server.ends.note_failure(target, [context.work], error.reason)
+            self._server.ends.record_failure(target, [context.work], error.reason)
             self._exclude.add(target.id)
             self._has_run += 1
             self._check_resumable()
             return False
-        self._server.suspects.note_whole(candidate.target, context.work)
+        self._server.suspects.record_success(candidate.target, context.work)
         return True
 
     def _check_harmless(self) -> None:
         """End a request that has become known to end its targets."""
-        if not self._server.suspects.is_held_back(self._context.work):
+        if not self._server.suspects.is_quarantined(self._context.work):
             return
         if self._has_run:
             raise self._end("targets ended while they ran it")
@@ -414,7 +414,7 @@
                 state.prompt_tokens_ahead -= tokens
                 is_reading = False
                 seconds = now() - attempt.began_at
-                state.succeed(seconds)
+                state.record_success(seconds)
                 server.logger.info(
                     "first_event",
                     request=context.head.id,
@@ -523,7 +523,7 @@
             return RequestError(ErrorKind.TARGET_FAILED, detail, ran=Ran.UNKNOWN)
         wait = self._server.selector.permit_wait(self._context.service.name)
         return self._context.refuse(
-            ErrorKind.NO_TARGET, detail, retry_after=spread_out(wait)
+            ErrorKind.NO_TARGET, detail, retry_after=add_jitter(wait)
         )
 
     def _first_limit(self, choice: EngineChoice) -> float:
--- a/packages/serving/bergamotsaddle_serving/suspects.py
+++ b/packages/serving/bergamotsaddle_serving/suspects.py
@@ -13,7 +13,7 @@
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 
 # Targets that end under a request before it is held back.
-FATAL_ENDS = 3
+MAX_CRASHES = 3
 _DAY_S = 86_400.0
 _ENDS = Topic("end", keep_seconds=_DAY_S, most=2_000)
 _ENDED_UNDER_IT = 1.0
@@ -77,19 +77,22 @@
         self._lives_by_work: dict[str, set[_Life]] = {}
         self._works_by_life: dict[_Life, set[str]] = {}
         self._proven: OrderedDict[tuple[str, tuple[str, str]], None] = OrderedDict()
-        gossip.open(_ENDS, self._note, worth=self._worth)
+        gossip.subscribe(_ENDS, self._note, worth=self._worth)
 
-    def note_end(self, target: Target, works: Iterable[str]) -> None:
+    def record_crash(self, target: Target, works: Iterable[str]) -> None:
         """Note that a target has ended while it ran some requests."""
         life = _life(target)
         unproven = [w for w in works if (w, life.release) not in self._proven]
         self._tell(
-            [self._gossip.note(_ENDS, _key(w, life), _ENDED_UNDER_IT) for w in unproven]
+            [
+                self._gossip.record(_ENDS, _key(w, life), _ENDED_UNDER_IT)
+                for w in unproven
+            ]
         )
         for work in unproven:
             self._log(work, target)
 
-    def note_whole(self, target: Target, work: str) -> None:
+    def record_success(self, target: Target, work: str) -> None:
         """Note that a request ran to its end without ending its target."""
         release = _life(target).release
         self._proven[work, release] = None
@@ -105,19 +108,19 @@
             return
         self._logger.info("suspect_cleared", work=work, target=target.id)
         self._tell(
-            [self._gossip.note(_ENDS, _key(work, life), _CLEARED) for life in lives]
+            [self._gossip.record(_ENDS, _key(work, life), _CLEARED) for life in lives]
         )
 
     def is_suspect(self, work: str) -> bool:
         """Tell whether a target has ended under a request."""
         return self._is_on and bool(self._guilty_lives(work))
 
-    def is_held_back(self, work: str) -> bool:
+    def is_quarantined(self, work: str) -> bool:
         """Tell whether a request must reach no target."""
         if not self._is_on:
             return False
         lives = self._guilty_lives(work)
-        if len(lives) < FATAL_ENDS:
+        if len(lives) < MAX_CRASHES:
             return False
         releases = self._releases()
         services = {service for service, _ in releases}
@@ -127,9 +130,9 @@
             for life in lives
         )
 
-    def held_back(self) -> list[str]:
+    def quarantined(self) -> list[str]:
         """All requests that are held back."""
-        return [work for work in self._lives_by_work if self.is_held_back(work)]
+        return [work for work in self._lives_by_work if self.is_quarantined(work)]
 
     def __len__(self) -> int:
         """Number of requests under which a target has ended."""
@@ -170,7 +173,7 @@
             target=target.id,
             work=work,
             ends=len(self._guilty_lives(work)),
-            is_held_back=self.is_held_back(work),
+            is_held_back=self.is_quarantined(work),
         )
 
 
--- a/packages/serving/bergamotsaddle_serving/target_ends.py
+++ b/packages/serving/bergamotsaddle_serving/target_crashes.py
@@ -13,7 +13,7 @@
 _PENDING_S = 10.0
 
 
-class TargetEnds:
+class TargetCrashes:
     """Reports ends of targets with the requests that they ran.
 
     A connection may also be broken off by the network, or by a target that fails a
@@ -38,7 +38,7 @@
         ] = {}
         view.subscribe(self._note_view)
 
-    def note_failure(self, target: Target, works: Sequence[str], reason: str) -> None:
+    def record_failure(self, target: Target, works: Sequence[str], reason: str) -> None:
         """Note that a connection failed while a target ran some requests.
 
         Args:
@@ -54,7 +54,7 @@
             )
             pending[2].update(works)
             return
-        self.suspects.note_end(target, works)
+        self.suspects.record_crash(target, works)
 
     def _note_view(self) -> None:
         since = now() - _PENDING_S
@@ -63,4 +63,4 @@
                 del self._pending_by_life[life]
             elif not self._view.has_incarnation(target):
                 del self._pending_by_life[life]
-                self.suspects.note_end(target, sorted(works))
+                self.suspects.record_crash(target, sorted(works))
--- a/packages/serving/bergamotsaddle_serving/urgency_mix.py
+++ b/packages/serving/bergamotsaddle_serving/urgency_distribution.py
@@ -7,14 +7,14 @@
 _FORGET_S = 5.0
 
 
-class UrgencyMix:
+class UrgencyDistribution:
     """The requests of the last seconds by their urgency."""
 
     def __init__(self) -> None:
         self._count_by_urgency: dict[int, float] = {}
         self._counted_at = 0.0
 
-    def note(self, urgency: int, moment: float) -> None:
+    def record(self, urgency: int, moment: float) -> None:
         """Count a request that has come in."""
         fading = math.exp((self._counted_at - moment) / _FORGET_S)
         self._counted_at = moment
@@ -23,7 +23,7 @@
         known = self._count_by_urgency.get(urgency, 0.0)
         self._count_by_urgency[urgency] = known + 1.0
 
-    def more_urgent(self, urgency: int) -> float:
+    def more_urgent_fraction(self, urgency: int) -> float:
         """Part of the requests that are more urgent, from 0 to 1.
 
         The place among all urgencies says less: where teams differ the places of their
--- a/packages/serving/bergamotsaddle_serving/wait_errors.py
+++ b/packages/serving/bergamotsaddle_serving/wait_errors.py
@@ -52,7 +52,7 @@
         """Tell whether something is expected of a stage already."""
         return stage in self._expected_by_stage
 
-    def note_begun(
+    def record_start(
         self, stage: StageKey, place: int, pieces: int, seconds: float, moment: float
     ) -> None:
         """Note what is expected of a stage whose pieces have come in.
@@ -68,7 +68,7 @@
         while len(self._expected_by_stage) > _KEPT:
             self._expected_by_stage.popitem(last=False)
 
-    def note_done(self, stage: StageKey, moment: float) -> None:
+    def record_piece_done(self, stage: StageKey, moment: float) -> None:
         """Learn from a stage once its last piece is done."""
         expected = self._expected_by_stage.get(stage)
         if expected is None:
--- a/packages/serving/bergamotsaddle_serving/zone_reach.py
+++ b/packages/serving/bergamotsaddle_serving/zone_reach.py
@@ -87,7 +87,7 @@
         view.subscribe(self._note_targets)
         self._note_targets()
 
-    def watch(self, callback: Callable[[], None]) -> None:
+    def subscribe(self, callback: Callable[[], None]) -> None:
         """Have a function called when a zone is lost or regained."""
         self._watchers.append(callback)
 
--- a/packages/standins/bergamotsaddle_standins/virtual_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_fleet.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from bergamotsaddle_daemon.clock import now
-from bergamotsaddle_serving.budget import ColdPace, RetryBudget
+from bergamotsaddle_serving.budget import ColdRateLimiter, RetryBudget
 from bergamotsaddle_serving.caller import RawRequest
 from bergamotsaddle_serving.catalog import (
     CallerLimits,
@@ -33,7 +33,7 @@
 from bergamotsaddle_serving.shared_rate import RateOwner
 from bergamotsaddle_serving.streams import StreamServer
 from bergamotsaddle_serving.suspects import Suspects
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 from bergamotsaddle_serving.target_rates import TargetRates
 from bergamotsaddle_serving.view import View
 from bergamotsaddle_standins.peer_fleet import (
@@ -142,20 +142,20 @@
         gossip = Gossip()
         tell = GossipExchange(gossip, peers).publish
         self.limits = NamedLimits(gossip, tell, SILENT)
-        self.health = Health(self.limits.note)
+        self.health = Health(self.limits.record)
         peers.own_running = self.health.running
         pool = VirtualPool(targets, peers.own.id)
         budget = RetryBudget(_BOUNDS, peers.size)
         reach = SimpleNamespace(is_lost=lambda zone: False)
         owner = RateOwner(peers.reachable_fraction)
         rates = TargetRates(self.limits, RateExchange(peers, owner), SILENT)
-        cold = ColdPace(peers.size)
+        cold = ColdRateLimiter(peers.size)
         selector = Selector(self.view, self.health, peers, cold, reach, rates)
         self.suspects = Suspects(gossip, tell, self.view.software_versions, SILENT)
-        ends = TargetEnds(pool, self.view, self.suspects)
+        ends = TargetCrashes(pool, self.view, self.suspects)
         plain = PlainServer(selector, pool, budget, dialect, SILENT, ends=ends)
         # Its routes have no stages.
-        waits = SimpleNamespace(best=None)
+        waits = SimpleNamespace(best_scope=None)
         streams = StreamServer(
             selector, waits, None, pool, budget, dialect, SILENT, ends=ends
         )
--- a/tests/test_admission_forecast.py
+++ b/tests/test_admission_forecast.py
@@ -5,7 +5,7 @@
 from parameterized import parameterized
 
 from bergamotsaddle_serving.admission import Forecast, admits, retry_after
-from bergamotsaddle_serving.stage_load import Coming, StageLoad
+from bergamotsaddle_serving.stage_load import PendingWork, StageLoad
 
 CALM = Forecast(seconds=0.5, idle_seconds=0.4, objective=1.0, left=4.0)
 
@@ -55,16 +55,16 @@
         Its own queue is still empty. Admitting by that alone begins requests whose
         results expire in front of the last stage, seconds later.
         """
-        coming = Coming()
+        coming = PendingWork()
         for _ in range(30):
             coming.add("last", "a", 1, 16)
         load = StageLoad(drain=0.0, call=0.25, rate=100.0)
-        ahead = coming.before("last", "a", 1)
+        ahead = coming.pieces_ahead("last", "a", 1)
         self.assertGreater(load.seconds(0.6, ahead), 4.0)
-        self.assertEqual(coming.before("last", "a", 0), 0)
+        self.assertEqual(coming.pieces_ahead("last", "a", 0), 0)
         for _ in range(30):
             coming.add("last", "a", 1, -16)
-        self.assertEqual(coming.told(), [])
+        self.assertEqual(coming.report(), [])
 
     def test_what_drains_before_a_stage_begins_costs_no_time(self):
         load = StageLoad(drain=0.5, call=0.25, rate=100.0)
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -70,7 +70,7 @@
             advance(0.2)
         advance(8.0)
         self.assertLessEqual(len(late_tries(fleet)), MOST_LATE_TRIES)
-        held = {work for i in fleet.instances for work in i.suspects.held_back()}
+        held = {work for i in fleet.instances for work in i.suspects.quarantined()}
         self.assertEqual(len(held), 1)
         refused = [caller for caller in others if caller.status == 503]
         self.assertEqual(refused, [])
@@ -90,7 +90,7 @@
                 fleet.targets.end(target, target.life)
             advance(0.1)
         advance(8.0)
-        held = {work for i in fleet.instances for work in i.suspects.held_back()}
+        held = {work for i in fleet.instances for work in i.suspects.quarantined()}
         self.assertEqual(held, set())
 
     def test_no_stage_is_run_again_for_a_request_that_is_held_back(self):
@@ -103,7 +103,7 @@
 
         def run_stages(run, choice):
             suspects = run._server.suspects
-            were_held.append(suspects.is_held_back(run._context.work))
+            were_held.append(suspects.is_quarantined(run._context.work))
 
         with mock.patch.object(streams._StreamRun, "_run_stages", run_stages):
             for number in range(4):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self.gossip = Gossip()
         self.heard = []
-        self.gossip.open(TOPIC, lambda *change: self.heard.append(change))
+        self.gossip.subscribe(TOPIC, lambda *change: self.heard.append(change))
 
     def value(self, key):
         return self.gossip.value(TOPIC, key)
@@ -36,9 +36,9 @@
         self.gossip = self.instance.gossip
 
     def test_only_news_is_told(self):
-        self.assertEqual(self.gossip.note(TOPIC, "k", 1.0), Fact("t", "k", 1.0, 0.0))
-        self.assertIsNone(self.gossip.note(TOPIC, "k", 1.0))
-        self.assertEqual(self.gossip.note(TOPIC, "k", 2.0), Fact("t", "k", 2.0, 0.0))
+        self.assertEqual(self.gossip.record(TOPIC, "k", 1.0), Fact("t", "k", 1.0, 0.0))
+        self.assertIsNone(self.gossip.record(TOPIC, "k", 1.0))
+        self.assertEqual(self.gossip.record(TOPIC, "k", 2.0), Fact("t", "k", 2.0, 0.0))
 
     @parameterized.expand(
         [
@@ -48,38 +48,38 @@
         ]
     )
     def test_the_latest_observation_wins(self, _, age, value):
-        self.gossip.note(TOPIC, "k", 1.0)
+        self.gossip.record(TOPIC, "k", 1.0)
         advance(1.0)
-        self.gossip.hear([Fact("t", "k", 2.0, age)])
+        self.gossip.merge([Fact("t", "k", 2.0, age)])
         self.assertEqual(self.instance.value("k"), value)
 
     def test_a_fact_is_forgotten_at_its_age_wherever_it_was_heard(self):
         """Guards against facts that look younger at each hop and never end."""
-        self.gossip.hear([Fact("t", "k", 1.0, 50.0)])
+        self.gossip.merge([Fact("t", "k", 1.0, 50.0)])
         advance(9.0)
-        self.gossip.hear([Fact("t", "k", 1.0, 58.95)])
+        self.gossip.merge([Fact("t", "k", 1.0, 58.95)])
         advance(1.2)
-        self.gossip.forget_old()
+        self.gossip.drop_expired()
         self.assertIsNone(self.instance.value("k"))
         self.assertEqual(self.instance.heard, [("k", 1.0), ("k", None)])
-        self.gossip.hear([Fact("t", "k", 1.0, 60.5)])
+        self.gossip.merge([Fact("t", "k", 1.0, 60.5)])
         self.assertIsNone(self.instance.value("k"))
 
     def test_too_many_facts_push_out_those_of_least_worth(self):
         gossip = Gossip()
-        gossip.open(TOPIC, lambda *_: None, worth=lambda key: float(key))
+        gossip.subscribe(TOPIC, lambda *_: None, worth=lambda key: float(key))
         for key in ("5", "1", "4", "2", "3"):
-            gossip.note(TOPIC, key, 1.0)
+            gossip.record(TOPIC, key, 1.0)
         self.assertEqual({fact.key for fact in gossip.facts()}, {"5", "4", "2", "3"})
 
     def test_digests_are_equal_for_the_same_facts_in_any_order(self):
         other = Instance().gossip
         for key in ("a", "b"):
-            self.gossip.note(TOPIC, key, 1.0)
+            self.gossip.record(TOPIC, key, 1.0)
         for key in ("b", "a"):
-            other.note(TOPIC, key, 1.0)
+            other.record(TOPIC, key, 1.0)
         self.assertEqual(self.gossip.digest, other.digest)
-        other.note(TOPIC, "a", 0.0)
+        other.record(TOPIC, "a", 0.0)
         self.assertNotEqual(self.gossip.digest, other.digest)
 
 
@@ -110,7 +110,7 @@
         self.fleet.start(within=0.3)
 
     def observe(self, number, key):
-        fact = self.instances[number].gossip.note(TOPIC, key, 1.0)
+        fact = self.instances[number].gossip.record(TOPIC, key, 1.0)
         self.exchanges[number].publish([fact])
 
     def knowing(self, key):
--- a/tests/test_greetings.py
+++ b/tests/test_heartbeat_schedule.py
@@ -5,7 +5,10 @@
 
 from parameterized import parameterized
 
-from bergamotsaddle_serving.greetings import MOST_AT_ONCE, Greetings
+from bergamotsaddle_serving.heartbeat_schedule import (
+    MAX_HEARTBEATS_PER_ROUND,
+    HeartbeatSchedule,
+)
 from bergamotsaddle_serving.peers import HEARTBEAT_INTERVAL_S
 
 FLEET = [f"10.0.0.{n}" for n in range(65)]
@@ -17,7 +20,7 @@
     """Rounds in which one peer hears any of some senders."""
     rounds = set()
     for sender, start in zip(senders, starts, strict=True):
-        greetings = Greetings(start)
+        greetings = HeartbeatSchedule(start)
         hosts = [host for host in FLEET if host != sender]
         for number in range(ROUNDS):
             if greeted in greetings.pick(hosts, owns_queues=False):
@@ -46,7 +49,7 @@
 
     @parameterized.expand([("others", False, 7), ("owners", True, 4)])
     def test_everybody_is_greeted_in_turn(self, _, owns_queues, rounds):
-        greetings = Greetings(3)
+        greetings = HeartbeatSchedule(3)
         hosts = FLEET[1:]
         greeted = {
             host
@@ -59,10 +62,10 @@
     def test_a_large_fleet_gets_fewer(self, _, owns_queues, count):
         """Guards against heartbeats that take more time than the requests."""
         hosts = [f"10.0.{n // 100}.{n % 100}" for n in range(194)]
-        picked = Greetings(3).pick(hosts, owns_queues=owns_queues)
+        picked = HeartbeatSchedule(3).pick(hosts, owns_queues=owns_queues)
         self.assertEqual(len(set(picked)), count)
 
     def test_a_small_fleet_is_greeted_whole(self):
-        greetings = Greetings()
-        hosts = FLEET[:MOST_AT_ONCE]
+        greetings = HeartbeatSchedule()
+        hosts = FLEET[:MAX_HEARTBEATS_PER_ROUND]
         self.assertEqual(greetings.pick(hosts, owns_queues=False), hosts)
--- a/tests/test_joint_limits.py
+++ b/tests/test_joint_limits.py
@@ -4,7 +4,7 @@
 
 from parameterized import parameterized
 
-from bergamotsaddle_serving.budget import ColdPace, RetryBudget
+from bergamotsaddle_serving.budget import ColdRateLimiter, RetryBudget
 from bergamotsaddle_serving.settings import BoundSettings
 from tests._paused import advance
 
@@ -26,7 +26,7 @@
         for second in range(30):
             for budget in budgets:
                 budget.count_request("s")
-                while budget.take("s"):
+                while budget.try_acquire("s"):
                     repeats.append(second)
             advance(1.0)
         for begin in range(20):
@@ -36,7 +36,7 @@
             self.assertLessEqual(within, max(allowed, size))
 
     def test_a_quiet_instance_may_repeat_once(self):
-        self.assertTrue(RetryBudget(BOUNDS, lambda: 500).take("s"))
+        self.assertTrue(RetryBudget(BOUNDS, lambda: 500).try_acquire("s"))
 
 
 class ColdPaceTest(unittest.TestCase):
@@ -50,12 +50,12 @@
         that gets more crashes, and its callers lose it for seconds.
         """
         rate = 8.8
-        paces = [ColdPace(lambda: size) for _ in range(size)]
+        paces = [ColdRateLimiter(lambda: size) for _ in range(size)]
         sent = []
         for tick in range(400):
             for pace in paces:
                 if pace.may_send("t"):
-                    pace.note_sent("t", rate)
+                    pace.record_sent("t", rate)
                     sent.append(tick)
             advance(0.01)
         for begin in range(300):
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -62,13 +62,13 @@
         self, _, answers, limit, told
     ):
         for answer in answers:
-            self.limits.note(TARGET, answer)
+            self.limits.record(TARGET, answer)
         self.assertEqual(self.limits.of(TARGET), limit)
         self.assertEqual(len(self.told), told)
 
     def test_a_new_life_under_the_same_id_has_named_nothing(self):
         """Guards against a limit that outlives the target which named it."""
-        self.limits.note(TARGET, 1.0)
+        self.limits.record(TARGET, 1.0)
         self.assertIsNone(self.limits.of(TARGET._replace(started_ms=6)))
         self.limits.keep_only({("t1", 6)})
         self.assertEqual(len(self.limits), 0)
@@ -77,8 +77,8 @@
     def test_another_instance_learns_of_it(self):
         other = Gossip()
         limits = NamedLimits(other, lambda facts: None, mock.Mock())
-        self.limits.note(TARGET, 1.0)
-        other.hear(self.told)
+        self.limits.record(TARGET, 1.0)
+        other.merge(self.told)
         self.assertEqual(limits.of(TARGET), 1.0)
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -32,7 +32,7 @@
     """Number of pieces that a target in another zone takes."""
     queue = StageQueue(FOUR_A_CALL, policy)
     fill(queue, count)
-    return len(queue.take_batch(0.0, 18e6, zone="b", others=others))
+    return len(queue.pop_batch(0.0, 18e6, zone="b", others=others))
 
 
 def take_small_part(policy):
@@ -41,7 +41,7 @@
     for number in range(6):
         key = PieceKey(f"r{number}", 0, 0)
         queue.add(QueuedPiece(key, 0, False, 1.0, 9.0, LARGE, "k", ()))
-    return len(queue.take_batch(0.0, 4e6, may_wait=True))
+    return len(queue.pop_batch(0.0, 4e6, may_wait=True))
 
 
 def leave(policy):
@@ -49,7 +49,7 @@
     queue = StageQueue(FOUR_A_CALL, policy)
     fill(queue, 8)
     queue.add(QueuedPiece(PieceKey("s", 0, 0), 0, False, 9.0, 9.0, LARGE, "k", ()))
-    return len(queue.take_expired(2.0))
+    return len(queue.pop_expired(2.0))
 
 
 class OffTest(unittest.TestCase):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -50,7 +50,7 @@
             for zone in ZONES:
                 for service in SERVICES:
                     for turn in TURNS:
-                        waits.best(service, zone, turn)
+                        waits.best_scope(service, zone, turn)
         self.assertLessEqual(alive.call_count, 1)
 
     def test_an_owner_that_falls_silent_is_left_at_once(self):
@@ -81,7 +81,7 @@
             mock.Mock(pending=[("encode", "a", [0, 3, 0, 0, 0, 0])]),
             mock.Mock(pending=[("rerank", "b", [5, 0, 0, 0, 0, 0])]),
         ]
-        roster = Roster(told, [], least_part=0.5, region=lambda zone: zone)
+        roster = Roster(told, [], min_cores_fraction=0.5, region=lambda zone: zone)
         self.assertEqual(
             roster.coming_by_queue,
             {("encode", "a"): [1, 3, 2, 0, 0, 0], ("rerank", "b"): [5, 0, 0, 0, 0, 0]},
--- a/tests/test_serving_stop.py
+++ b/tests/test_serving_stop.py
@@ -33,7 +33,7 @@
 
 def make_handler():
     """A handler that holds nothing back."""
-    suspects = mock.Mock(is_held_back=lambda work: False)
+    suspects = mock.Mock(is_quarantined=lambda work: False)
     return Handler(*(mock.MagicMock() for _ in range(7)), suspects=suspects)
 
 
--- a/tests/test_shared_rate.py
+++ b/tests/test_shared_rate.py
@@ -24,7 +24,7 @@
         counts = dict.fromkeys(urgencies, 0)
         for _ in range(round(seconds / STEP_S)):
             for urgency in urgencies:
-                counts[urgency] += not self.owner.ask(KEY, rate, urgency)
+                counts[urgency] += not self.owner.request_permit(KEY, rate, urgency)
             advance(STEP_S)
         return counts
 
@@ -35,14 +35,14 @@
 
     def test_an_owner_that_takes_over_begins_with_nothing(self):
         """Guards against two owners whose kept permits add up."""
-        self.assertGreater(self.owner.ask(KEY, 2.0, 0), 0)
+        self.assertGreater(self.owner.request_permit(KEY, 2.0, 0), 0)
 
     @parameterized.expand([("slow", 1.0, 2), ("fast", 20.0, 10)])
     def test_few_permits_are_kept(self, _, rate, most):
-        self.owner.ask(KEY, rate, 0)
+        self.owner.request_permit(KEY, rate, 0)
         advance(60.0)
         count = 0
-        while not self.owner.ask(KEY, rate, 0):
+        while not self.owner.request_permit(KEY, rate, 0):
             count += 1
         self.assertEqual(count, most)
 
@@ -57,9 +57,9 @@
         self.assertGreater(counts[2], 15)
 
     def test_the_wait_is_until_the_next_permit(self):
-        self.owner.ask(KEY, 2.0, 0)
+        self.owner.request_permit(KEY, 2.0, 0)
         advance(0.1)
-        self.assertAlmostEqual(self.owner.ask(KEY, 2.0, 0), 0.4)
+        self.assertAlmostEqual(self.owner.request_permit(KEY, 2.0, 0), 0.4)
 
     def test_a_rate_of_nothing_is_tried_now_and_then(self):
         """Guards against a limit of 0 whose end nobody would learn."""
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -22,13 +22,13 @@
 from bergamotsaddle_serving.peer_messages import Contact, Release, Started, Submit
 from bergamotsaddle_serving.policy import FULL_POLICY
 from bergamotsaddle_serving.stage_exchange import StageExchange
-from bergamotsaddle_serving.stage_load import Coming, ScopeLoad, StageLoad
+from bergamotsaddle_serving.stage_load import PendingWork, ScopeLoad, StageLoad
 from bergamotsaddle_serving.stage_owner import StageOwner
 from bergamotsaddle_serving.stage_plan import StagePlan
 from bergamotsaddle_serving.stage_queue import PieceKey, QueuedPiece, StageQueue
 from bergamotsaddle_serving.stage_run import StageRun
-from bergamotsaddle_serving.suspects import FATAL_ENDS, Suspects
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.suspects import MAX_CRASHES, Suspects
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 from bergamotsaddle_serving.view import View
 from tests._paused import advance, settle
 from tests._stages import BATCHING, FOUR_A_CALL, target_entry
@@ -135,7 +135,7 @@
             dialect,
             self.reach,
             mock.Mock(),
-            ends=TargetEnds(pool, self.view, self.suspects),
+            ends=TargetCrashes(pool, self.view, self.suspects),
         )
         self.exchange = StageExchange(self.peers, self.owner)
         config = StoreEntry("op/config", 1, msgspec.json.encode(CONFIG))
@@ -158,7 +158,7 @@
             "a",
             lambda service, zone, urgency: ScopeLoad(zone, StageLoad(0.0, 0.2, 10.0)),
             urgency=0,
-            began_at=now(),
+            started_at=now(),
             finish_seconds=0.1,
         )
         self.run_ = StageRun(
@@ -170,7 +170,7 @@
             urgency=0,
             deadline_at=now() + 6.0,
             spread=lambda service, stage, count: [("a", count)],
-            coming=Coming(),
+            coming=PendingWork(),
             keep_seconds=lambda service: keep_seconds,
             work=work,
         )
@@ -206,14 +206,14 @@
             self.calls.script = [ConnectionLostError("closed")] * 9
             self.start((1, 1), name=name, work="w")
             advance(4.0)
-        self.assertTrue(self.suspects.is_held_back("w"))
-        self.assertEqual(len(self.calls.calls), FATAL_ENDS)
+        self.assertTrue(self.suspects.is_quarantined("w"))
+        self.assertEqual(len(self.calls.calls), MAX_CRASHES)
 
     def test_a_call_that_a_target_answers_clears_its_requests(self):
         self.start(work="w")
         self.finish(0.6)
         for number in range(3):
-            self.suspects.note_end(self.target("t1", started_ms=number), ["w"])
+            self.suspects.record_crash(self.target("t1", started_ms=number), ["w"])
         self.assertFalse(self.suspects.is_suspect("w"))
 
     def target(self, name, started_ms=0):
@@ -233,11 +233,11 @@
 
         def look(queue, *args, **kwargs):
             looked_at.append(len(queue))
-            return take_batch(queue, *args, **kwargs)
+            return pop_batch(queue, *args, **kwargs)
 
-        take_batch = StageQueue.take_batch
+        pop_batch = StageQueue.pop_batch
         self.calls.script = [dict.fromkeys(range(4), PieceFailure.NO_MEMORY)] * 9
-        with mock.patch.object(StageQueue, "take_batch", look):
+        with mock.patch.object(StageQueue, "pop_batch", look):
             for number in range(600):
                 self.owner.submit(make_submission(f"r{number}"), "me")
                 advance(0.001)
@@ -464,7 +464,7 @@
         looks = mock.Mock(return_value=[])
         queues = self.owner._queue_by_service.values()
         for queue in queues:
-            queue.queue.take_batch = looks
+            queue.queue.pop_batch = looks
         advance(10.0)
         self.assertEqual(len(queues), 2)
         self.assertLessEqual(looks.call_count, len(queues) * 10)
--- a/tests/test_stage_plan.py
+++ b/tests/test_stage_plan.py
@@ -25,7 +25,7 @@
         "a",
         lambda service, zone, urgency: ScopeLoad(zone, StageLoad(drain, 0.25, 50.0)),
         urgency=1,
-        began_at=100.0,
+        started_at=100.0,
         finish_seconds=0.1,
     )
 
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -4,14 +4,14 @@
 
 from parameterized import parameterized
 
-from bergamotsaddle_serving.result_room import ResultRoom
+from bergamotsaddle_serving.result_memory import ResultMemory
 from bergamotsaddle_serving.stage_load import place
 from bergamotsaddle_serving.stage_queue import (
     OtherTarget,
     PieceKey,
     QueuedPiece,
     StageQueue,
-    set_suspects_apart,
+    isolate_suspects,
 )
 from tests._stages import FOUR_A_CALL
 
@@ -54,7 +54,7 @@
     def test_it_goes_alone(self, _, works, suspects, called, left):
         """Guards against a fatal request that takes others' pieces with it."""
         batch = [piece("r", number, work=work) for number, work in enumerate(works)]
-        call, rest = set_suspects_apart(batch, lambda work: work in suspects)
+        call, rest = isolate_suspects(batch, lambda work: work in suspects)
         self.assertEqual("".join(p.work for p in call), called)
         self.assertEqual("".join(p.work for p in rest), left)
 
@@ -74,7 +74,7 @@
         queue = StageQueue(FOUR_A_CALL._replace(size=1))
         queue.add(second)
         queue.add(first)
-        self.assertEqual(requests(queue.take_batch(0.0, 18e6)), ["a"])
+        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["a"])
 
 
 class BurstTest(unittest.TestCase):
@@ -90,14 +90,14 @@
         for request in "abcdef":
             for number in range(3):
                 queue.add(piece(request, number, result_bytes=LARGE))
-        room = ResultRoom(18e6, 4.0)
+        room = ResultMemory(18e6, 4.0)
         finished = set()
         held = {}
         for turn in range(12):
             moment = turn * 0.3
-            for taken in queue.take_batch(moment, room.left(moment)):
+            for taken in queue.pop_batch(moment, room.free_bytes(moment)):
                 held.setdefault(taken.key.request, set()).add(taken.key.number)
-                room.hold(f"{taken.key}", LARGE, moment)
+                room.add(f"{taken.key}", LARGE, moment)
             for request, numbers in list(held.items()):
                 if len(numbers) == 3:
                     finished.add(request)
@@ -116,7 +116,7 @@
         for number in range(3):
             queue.add(piece("large", number, result_bytes=LARGE))
         queue.add(piece("small", urgency=2))
-        self.assertEqual(requests(queue.take_batch(0.0, 6e6)), ["small"])
+        self.assertEqual(requests(queue.pop_batch(0.0, 6e6)), ["small"])
 
     def test_large_results_leave_room_for_small_ones(self):
         """Large results fill a target exactly, while chains wait for their first stage.
@@ -129,7 +129,7 @@
             queue.add(piece(f"large{number}", result_bytes=LARGE))
         for number in range(6):
             queue.add(piece(f"small{number}", urgency=1))
-        batch = queue.take_batch(0.0, 2.0 * LARGE)
+        batch = queue.pop_batch(0.0, 2.0 * LARGE)
         self.assertEqual([p.result_bytes for p in batch], [LARGE, SMALL, SMALL, SMALL])
 
     def test_a_result_that_fills_a_target_is_made_beside_small_ones(self):
@@ -137,7 +137,7 @@
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=18_000_000))
         queue.add(piece("small", urgency=1))
-        self.assertEqual(requests(queue.take_batch(0.0, 18e6)), ["large"])
+        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["large"])
 
     def test_a_call_waits_for_room_rather_than_go_nearly_empty(self):
         """The results of the call before are about to be given up.
@@ -148,23 +148,23 @@
         queue = StageQueue(FOUR_A_CALL)
         for request in "abcdef":
             queue.add(piece(request, result_bytes=LARGE))
-        self.assertEqual(queue.take_batch(0.0, 4e6, may_wait=True), [])
-        self.assertEqual(len(queue.take_batch(0.0, 4e6)), 1)
-        self.assertEqual(len(queue.take_batch(0.0, 18e6, may_wait=True)), 4)
+        self.assertEqual(queue.pop_batch(0.0, 4e6, may_wait=True), [])
+        self.assertEqual(len(queue.pop_batch(0.0, 4e6)), 1)
+        self.assertEqual(len(queue.pop_batch(0.0, 18e6, may_wait=True)), 4)
 
     def test_what_cannot_be_done_in_time_is_taken_out(self):
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a", expires_at=0.1))
         queue.add(piece("b", expires_at=1.0))
-        self.assertEqual(requests(queue.take_expired(0.0)), ["a"])
-        self.assertEqual(requests(queue.take_batch(0.0, 18e6)), ["b"])
+        self.assertEqual(requests(queue.pop_expired(0.0)), ["a"])
+        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["b"])
 
     def test_cancelled_requests_leave(self):
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a"))
         queue.add(piece("b"))
         queue.cancel("a")
-        self.assertEqual(requests(queue.take_batch(0.0, 18e6)), ["b"])
+        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["b"])
 
     def test_a_begun_stage_that_is_cancelled_promises_no_room(self):
         """A caller leaves after a part of its stage was taken.
@@ -175,10 +175,10 @@
         queue = StageQueue(FOUR_A_CALL)
         for number in range(6):
             queue.add(piece("a", number, result_bytes=LARGE))
-        self.assertEqual(len(queue.take_batch(0.0, 18e6)), 4)
+        self.assertEqual(len(queue.pop_batch(0.0, 18e6)), 4)
         queue.cancel("a")
         queue.add(piece("b", result_bytes=LARGE))
-        self.assertEqual(requests(queue.take_batch(0.3, 6e6)), ["b"])
+        self.assertEqual(requests(queue.pop_batch(0.3, 6e6)), ["b"])
 
     def test_pieces_of_another_round_are_other_pieces(self):
         """A result was lost and its stage is begun anew while old pieces wait.
@@ -213,7 +213,7 @@
             queue.add(
                 piece(f"s{number}", urgency=1, has_started=True, objective_at=due)
             )
-        taken = requests(queue.take_batch(0.0, 18e6))
+        taken = requests(queue.pop_batch(0.0, 18e6))
         self.assertIn("chat", taken)
         self.assertEqual(taken[0], "s0")
 
@@ -230,7 +230,7 @@
         drains = queue.drains(1, 0.0, 1.0)
         begun = drains[place(2, has_started=True)]
         self.assertAlmostEqual(drains[place(0, has_started=False)], 2 * begun)
-        self.assertEqual(requests(queue.take_batch(0.0, 18e6)), ["begun"])
+        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["begun"])
 
     def test_late_newcomers_leave_a_long_queue(self):
         """A burst leaves requests behind that were due before they began.
@@ -243,8 +243,8 @@
             queue.add(piece(f"r{number}", objective_at=5.0))
         queue.add(piece("late", objective_at=1.0))
         queue.add(piece("begun", objective_at=1.0, has_started=True, expires_at=9.0))
-        self.assertEqual(queue.take_expired(1.2), [])
-        self.assertEqual(requests(queue.take_expired(1.4)), ["late"])
+        self.assertEqual(queue.pop_expired(1.2), [])
+        self.assertEqual(requests(queue.pop_expired(1.4)), ["late"])
 
 
 class SharedQueueTest(unittest.TestCase):
@@ -260,9 +260,9 @@
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         queue.add(piece("small", zone="a", zone_bytes=SMALL))
-        batch = queue.take_batch(0.0, 18e6, zone="b", others=[busy])
+        batch = queue.pop_batch(0.0, 18e6, zone="b", others=[busy])
         self.assertEqual(requests(batch), ["small"])
-        batch = queue.take_batch(0.6, 18e6, zone="b", others=[busy])
+        batch = queue.pop_batch(0.6, 18e6, zone="b", others=[busy])
         self.assertEqual(requests(batch), ["large"])
 
     def test_pieces_are_done_where_their_inputs_are(self):
@@ -273,8 +273,8 @@
         free = OtherTarget("a", free_in=0.1, room_bytes=18e6)
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a", has_started=True, zone="a", zone_bytes=480_000))
-        self.assertEqual(queue.take_batch(0.0, 18e6, zone="b", others=[free]), [])
-        batch = queue.take_batch(0.0, 18e6, zone="a")
+        self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[free]), [])
+        batch = queue.pop_batch(0.0, 18e6, zone="a")
         self.assertEqual(requests(batch), ["a"])
 
     def test_the_rest_of_a_stage_stays_where_it_was_begun(self):
@@ -286,17 +286,17 @@
         queue = StageQueue(FOUR_A_CALL)
         for number in range(6):
             queue.add(piece("a", number))
-        self.assertEqual(len(queue.take_batch(0.0, 18e6, zone="a")), 4)
+        self.assertEqual(len(queue.pop_batch(0.0, 18e6, zone="a")), 4)
         busy = OtherTarget("a", free_in=0.2, room_bytes=18e6)
-        self.assertEqual(queue.take_batch(0.0, 18e6, zone="b", others=[busy]), [])
-        batch = queue.take_batch(0.8, 18e6, zone="b", others=[busy])
+        self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[busy]), [])
+        batch = queue.pop_batch(0.8, 18e6, zone="b", others=[busy])
         self.assertEqual(len(batch), 2)
 
     def test_large_results_leave_a_zone_without_a_target(self):
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         other = OtherTarget("c", free_in=0.0, room_bytes=18e6)
-        batch = queue.take_batch(0.0, 18e6, zone="b", others=[other])
+        batch = queue.pop_batch(0.0, 18e6, zone="b", others=[other])
         self.assertEqual(requests(batch), ["large"])
 
     def test_a_stage_that_fits_no_single_target_is_spread(self):
@@ -308,10 +308,10 @@
         queue = StageQueue(FOUR_A_CALL)
         for number in range(8):
             queue.add(piece("a", number, result_bytes=LARGE))
-        self.assertEqual(queue.take_batch(0.0, 18e6), [])
+        self.assertEqual(queue.pop_batch(0.0, 18e6), [])
         other = OtherTarget("b", free_in=0.0, room_bytes=18e6)
-        self.assertEqual(len(queue.take_batch(0.0, 18e6, others=[other])), 4)
-        self.assertEqual(len(queue.take_batch(0.0, 18e6, others=[])), 4)
+        self.assertEqual(len(queue.pop_batch(0.0, 18e6, others=[other])), 4)
+        self.assertEqual(len(queue.pop_batch(0.0, 18e6, others=[])), 4)
 
     def test_room_promised_to_a_begun_stage_is_not_given_to_another(self):
         """Two requests have eight large results each, the targets room for twelve.
@@ -324,7 +324,7 @@
             for number in range(8):
                 queue.add(piece(request, number, result_bytes=LARGE))
         other = OtherTarget("b", free_in=0.2, room_bytes=18e6)
-        first = queue.take_batch(0.0, 18e6, others=[other])
+        first = queue.pop_batch(0.0, 18e6, others=[other])
         left = OtherTarget("a", free_in=0.2, room_bytes=6e6)
-        second = queue.take_batch(0.0, 18e6, zone="b", others=[left])
+        second = queue.pop_batch(0.0, 18e6, zone="b", others=[left])
         self.assertEqual(requests([*first, *second]), ["a"])
--- a/tests/test_target_ends.py
+++ b/tests/test_target_crashes.py
@@ -9,7 +9,7 @@
 from bergamotsaddle_contracts.ini import Address
 from bergamotsaddle_serving.catalog import Target
 from bergamotsaddle_serving.client import ConnectionLostError, ConnectionPool
-from bergamotsaddle_serving.target_ends import TargetEnds
+from bergamotsaddle_serving.target_crashes import TargetCrashes
 from tests._paused import advance, use_paused_clock, use_running_clock
 
 TARGET = Target("t1", "generate", Address("10.0.0.1", 80), "a", 64)
@@ -25,12 +25,12 @@
         self.view.has_incarnation.return_value = True
         self.pool = mock.Mock()
         self.suspects = mock.Mock()
-        self.ends = TargetEnds(self.pool, self.view, self.suspects)
+        self.ends = TargetCrashes(self.pool, self.view, self.suspects)
         ((self.note_view,), _) = self.view.subscribe.call_args
 
     def fail(self, reason="closed", *, is_refused=False):
         self.pool.is_refused.return_value = is_refused
-        self.ends.note_failure(TARGET, ["w"], reason)
+        self.ends.record_failure(TARGET, ["w"], reason)
 
     @parameterized.expand(
         [
@@ -44,13 +44,13 @@
     )
     def test_what_counts(self, _, reason, is_refused, ends):
         self.fail(reason, is_refused=is_refused)
-        self.assertEqual(self.suspects.note_end.call_count, ends)
+        self.assertEqual(self.suspects.record_crash.call_count, ends)
 
     def test_a_target_that_gave_notice_has_not_crashed(self):
         """Guards against suspicion where targets are replaced."""
         self.view.is_leaving.return_value = True
         self.fail(is_refused=True)
-        self.suspects.note_end.assert_not_called()
+        self.suspects.record_crash.assert_not_called()
 
     @parameterized.expand([("soon", 1.0, 1), ("much_later", 11.0, 0)])
     def test_a_target_that_is_back_at_once_has_ended_too(self, _, after, ends):
@@ -59,7 +59,7 @@
         advance(after)
         self.view.has_incarnation.return_value = False
         self.note_view()
-        self.assertEqual(self.suspects.note_end.call_count, ends)
+        self.assertEqual(self.suspects.record_crash.call_count, ends)
 
     def test_a_target_that_leaves_after_a_notice_is_forgotten(self):
         self.fail()
@@ -67,7 +67,7 @@
         self.note_view()
         self.view.has_incarnation.return_value = False
         self.note_view()
-        self.suspects.note_end.assert_not_called()
+        self.suspects.record_crash.assert_not_called()
 
 
 class RefusedTest(unittest.TestCase):
--- a/tests/test_target_totals.py
+++ b/tests/test_target_totals.py
@@ -28,7 +28,7 @@
             64,
             totals.running[name],
             totals.prefill_tokens[name],
-            knows=False,
+            has_cached_prefix=False,
         )
         for name in NAMES
     ]
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -104,6 +104,6 @@
             for number in range(count):
                 key = PieceKey(f"{kind.name}{number}", 0, 0)
                 queue.add(QueuedPiece(key, urgency, False, 1.4, 6.0, 8_000, "k", ()))
-        batch = queue.take_batch(0.0, 9e6)
+        batch = queue.pop_batch(0.0, 9e6)
         self.assertEqual({piece.urgency for piece in batch}, {0})
         self.assertEqual(len(batch), 4)
--- a/tests/test_urgency_mix.py
+++ b/tests/test_urgency_distribution.py
@@ -5,16 +5,16 @@
 from parameterized import parameterized
 
 from bergamotsaddle_serving.admission import Forecast, admits
-from bergamotsaddle_serving.urgency_mix import UrgencyMix
+from bergamotsaddle_serving.urgency_distribution import UrgencyDistribution
 
 NEARLY_FULL = Forecast(seconds=0.9, idle_seconds=0.4, objective=1.4, left=5.0)
 
 
 def mix_of(*urgencies):
     """The mix of requests that came 0.1 s apart."""
-    mix = UrgencyMix()
+    mix = UrgencyDistribution()
     for number, urgency in enumerate(urgencies):
-        mix.note(urgency, 0.1 * number)
+        mix.record(urgency, 0.1 * number)
     return mix
 
 
@@ -30,13 +30,13 @@
         ]
     )
     def test_share(self, _, came, urgency, expected):
-        found = mix_of(*came).more_urgent(urgency)
+        found = mix_of(*came).more_urgent_fraction(urgency)
         self.assertAlmostEqual(found, expected, delta=0.02)
 
     def test_it_forgets(self):
         mix = mix_of(0, 0, 0, 0)
-        mix.note(1, 30.0)
-        self.assertLess(mix.more_urgent(1), 0.02)
+        mix.record(1, 30.0)
+        self.assertLess(mix.more_urgent_fraction(1), 0.02)
 
     def test_a_team_that_hardly_comes_shuts_nobody_out(self):
         """One request in twenty is of a team that goes before all others.
@@ -45,8 +45,8 @@
         Counting places it would be refused at half of the wait that it could bear.
         """
         mix = mix_of(0, *[3] * 19)
-        self.assertTrue(admits(NEARLY_FULL, mix.more_urgent(3)))
+        self.assertTrue(admits(NEARLY_FULL, mix.more_urgent_fraction(3)))
 
     def test_a_flood_of_urgent_requests_is_left_its_room(self):
         mix = mix_of(*[0] * 19, 3)
-        self.assertFalse(admits(NEARLY_FULL, mix.more_urgent(3)))
+        self.assertFalse(admits(NEARLY_FULL, mix.more_urgent_fraction(3)))
--- a/tests/test_wait_errors.py
+++ b/tests/test_wait_errors.py
@@ -16,9 +16,9 @@
     """Have stages end of two pieces of which 0.6 s were expected."""
     for number in range(count):
         stage = StageKey(f"r{number}", 0, 0)
-        errors.note_begun(stage, place, 2, 0.6, float(number))
-        errors.note_done(stage, number + 0.1)
-        errors.note_done(stage, number + actual)
+        errors.record_start(stage, place, 2, 0.6, float(number))
+        errors.record_piece_done(stage, number + 0.1)
+        errors.record_piece_done(stage, number + actual)
 
 
 class WaitErrorsTest(unittest.TestCase):
--- a/tests/test_zone_reach.py
+++ b/tests/test_zone_reach.py
@@ -8,7 +8,7 @@
 
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_platform.dialect import PlatformDialect
-from bergamotsaddle_serving.budget import ColdPace
+from bergamotsaddle_serving.budget import ColdRateLimiter
 from bergamotsaddle_serving.client import ConnectionLostError
 from bergamotsaddle_serving.health import Health
 from bergamotsaddle_serving.messages import StoreEntry
@@ -66,7 +66,7 @@
         their requests end late or not at all.
         """
         changes = mock.Mock()
-        self.reach.watch(changes)
+        self.reach.subscribe(changes)
         self.dead = {81, 82}
         advance(1.2)
         self.assertTrue(self.reach.is_lost("b"))
@@ -74,7 +74,7 @@
             self.view,
             Health(),
             self.peers,
-            ColdPace(lambda: 3),
+            ColdRateLimiter(lambda: 3),
             self.reach,
             mock.Mock(wait=lambda target: 0.0),
         )
