--- a/packages/serving/bergamotsaddle_serving/attempt.py
+++ b/packages/serving/bergamotsaddle_serving/attempt.py
@@ -18,7 +18,7 @@
 _MISDIRECTED = 421
 _SUCCESS = range(200, 300)
 # Statuses that promise callers that nothing has run; a target's own may not.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class NotRunError(BergamotsaddleError):
@@ -35,7 +35,7 @@
         self.status = status
 
 
-class UnknownRunError(BergamotsaddleError):
+class OutcomeUnknownError(BergamotsaddleError):
     """The target may have run the request, and no whole answer came.
 
     Args:
@@ -47,7 +47,7 @@
         self.reason = reason
 
 
-class Reply(NamedTuple):
+class Response(NamedTuple):
     """The head of a target's answer to this very request."""
 
     head: RawResponseHead
@@ -85,7 +85,7 @@
         self._dialect = dialect
         self._connection: Connection | None = None
         self._keep: float | None = None
-        self.began_at = now()
+        self.started_at = now()
 
     def __enter__(self) -> "Attempt":
         self._state.in_flight += 1
@@ -103,7 +103,7 @@
         limit: float,
         most: float | None = None,
         on_sent: Callable[[int], None] | None = None,
-    ) -> Reply:
+    ) -> Response:
         """Send the request and wait for the head of the answer.
 
         Args:
@@ -137,7 +137,7 @@
             head = self._await_head(connection, limit, most or limit)
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
-            raise UnknownRunError(error.reason) from error
+            raise OutcomeUnknownError(error.reason) from error
         return self._check(head)
 
     def _await_head(
@@ -163,7 +163,7 @@
             body = self._connection.read_body(limit=limit, max_bytes=most)
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
-            raise UnknownRunError(error.reason) from error
+            raise OutcomeUnknownError(error.reason) from error
         self._give_back()
         return body
 
@@ -177,13 +177,13 @@
             data = self._connection.read_some(limit=limit)
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
-            raise UnknownRunError(error.reason) from error
+            raise OutcomeUnknownError(error.reason) from error
         self._state.last_seen_at = now()
         if data is None:
             self._give_back()
         return data
 
-    def _check(self, head: RawResponseHead) -> Reply:
+    def _check(self, head: RawResponseHead) -> Response:
         answer = self._dialect.read_response(head.headers)
         self._keep = answer.keep_alive_seconds
         self._state.record_load(answer.load)
@@ -196,13 +196,13 @@
             # A late answer to an earlier request: this one's may still come, but
             # which bytes are whose can't be told any more on this connection.
             self._state.record_failure(is_certain=False)
-            raise UnknownRunError("crossed")
+            raise OutcomeUnknownError("crossed")
         if answer.is_encoded or (head.status in _SUCCESS and not answer.is_signed):
             self._state.record_failure(is_certain=False)
-            raise UnknownRunError("unsigned")
+            raise OutcomeUnknownError("unsigned")
         # A refusal may leave the limit out; only an answer that ran ends it.
         self._state.record_limit(answer.limit)
-        return Reply(head, answer)
+        return Response(head, answer)
 
     def _drain(self) -> None:
         try:
--- a/packages/serving/bergamotsaddle_serving/context.py
+++ b/packages/serving/bergamotsaddle_serving/context.py
@@ -41,24 +41,24 @@
     route: Route
     service: Service
     team: Team | None
-    began_at: float
-    ends_at: float
+    started_at: float
+    deadline_at: float
     version: int
     urgency: int
     progress: Progress
-    work: str = ""
+    fingerprint: str = ""
 
     @property
-    def first_by(self) -> float:
+    def first_event_by(self) -> float:
         """When the caller gives up for want of a first event, on the hub's clock."""
-        return min(self.ends_at, self.began_at + self.route.max_wait)
+        return min(self.deadline_at, self.started_at + self.route.max_wait)
 
     @property
     def remaining(self) -> float:
         """Seconds that are left."""
-        return self.ends_at - now()
+        return self.deadline_at - now()
 
-    def give_up(self, kind: ErrorKind, detail: str) -> RequestError:
+    def abort_error(self, kind: ErrorKind, detail: str) -> RequestError:
         """Make the error for a request that ends wherever it is.
 
         It says "not run" only if nothing of the request has left.
@@ -69,14 +69,14 @@
         """
         if self.progress.is_sent:
             return RequestError(kind, detail, ran=Ran.UNKNOWN)
-        return self.refuse(ErrorKind.NOT_RUN, detail)
+        return self.rejection_error(ErrorKind.NOT_RUN, detail)
 
-    def hold_back(self) -> RequestError:
+    def quarantine_error(self) -> RequestError:
         """Make the error for a request that ends its targets."""
         detail = "targets ended each time that they ran it"
-        return self.refuse(ErrorKind.HELD_BACK, detail)
+        return self.rejection_error(ErrorKind.HELD_BACK, detail)
 
-    def refuse(
+    def rejection_error(
         self, kind: ErrorKind, detail: str, *, retry_after: float | None = None
     ) -> RequestError:
         """Make the error for a request that has not run and never will."""
--- a/packages/serving/bergamotsaddle_serving/events.py
+++ b/packages/serving/bergamotsaddle_serving/events.py
@@ -41,6 +41,6 @@
         return events
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of an event that has not ended."""
         return self._rest
--- a/packages/serving/bergamotsaddle_serving/fetching.py
+++ b/packages/serving/bergamotsaddle_serving/fetching.py
@@ -37,4 +37,4 @@
 
 
 # Of a machine whose link is no limit.
-FAST_LINK = FetchTimes()
+DEFAULT_FETCH_TIMES = FetchTimes()
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -59,7 +59,7 @@
     """This instance is about to end."""
 
 
-class Refusal(msgspec.Struct):
+class ErrorResponse(msgspec.Struct):
     """What a caller is told instead of an answer."""
 
     kind: str
@@ -109,7 +109,7 @@
         self.served = 0
         self._workers: set[greenlet] = set()
 
-    def end_all(self) -> None:
+    def abort_all(self) -> None:
         """End every request that still runs, each with an answer that is true.
 
         The process is about to be killed; a caller whose connection only closes does
@@ -161,8 +161,8 @@
             head = self._dialect.read_head(raw.method, raw.path, raw.headers)
             request_id = head.id
             context = self._context(head, raw)
-            if self._suspects.is_quarantined(context.work):
-                raise context.hold_back()
+            if self._suspects.is_quarantined(context.fingerprint):
+                raise context.quarantine_error()
             self._budget.count_request(context.service.name)
             self._run(caller, context)
         except RequestError as error:
@@ -191,9 +191,11 @@
         try:
             caller.run_while_connected(work)
         except _OutOfTimeError as error:
-            raise context.give_up(ErrorKind.DEADLINE_PASSED, "out of time") from error
+            raise context.abort_error(
+                ErrorKind.DEADLINE_PASSED, "out of time"
+            ) from error
         except _StoppingError as error:
-            raise context.give_up(ErrorKind.TARGET_FAILED, "stopping") from error
+            raise context.abort_error(ErrorKind.TARGET_FAILED, "stopping") from error
         finally:
             self._workers.discard(worker)
 
@@ -220,12 +222,12 @@
             route=route,
             service=service,
             team=team,
-            began_at=raw.started_at,
-            ends_at=raw.started_at + min(head.deadline, route.timeout),
+            started_at=raw.started_at,
+            deadline_at=raw.started_at + min(head.deadline, route.timeout),
             version=configuration.version,
             urgency=self._urgency(configuration, route, team),
             progress=Progress(),
-            work=fingerprint(head, team, raw.body),
+            fingerprint=fingerprint(head, team, raw.body),
         )
 
     def _urgency(
@@ -284,7 +286,7 @@
             headers.append((b"retry-after", b"%.3f" % error.retry_after))
         if error.kind in _CLOSING:
             caller.must_close = True
-        body = msgspec.json.encode(Refusal(error.kind, error.ran, error.detail))
+        body = msgspec.json.encode(ErrorResponse(error.kind, error.ran, error.detail))
         try:
             caller.respond(error.status, headers, body)
         except CallerLeftError:
@@ -302,7 +304,7 @@
             request=request_id,
             route=route,
             team=context.team.name if context and context.team else "",
-            work=context.work if context else "",
+            work=context.fingerprint if context else "",
             outcome=str(outcome),
             seconds=round(seconds, 4),
             left=round(context.remaining, 3) if context else 0.0,
--- a/packages/serving/bergamotsaddle_serving/plain.py
+++ b/packages/serving/bergamotsaddle_serving/plain.py
@@ -6,10 +6,10 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving.admission import add_jitter
 from bergamotsaddle_serving.attempt import (
-    PROMISES,
+    NOT_RUN_STATUSES,
     Attempt,
     NotRunError,
-    UnknownRunError,
+    OutcomeUnknownError,
 )
 from bergamotsaddle_serving.budget import RetryBudget
 from bergamotsaddle_serving.client import ConnectionPool, end_to_end_headers
@@ -28,7 +28,7 @@
 _MAX_REFUSALS = 3
 
 
-class WholeAnswer:
+class CompleteResponse:
     """A target's whole answer, ready to be passed on."""
 
     def __init__(self, status: int, headers: RawHeaders, body: bytes) -> None:
@@ -57,17 +57,17 @@
         dialect: Dialect,
         logger: Any,
         *,
-        ends: TargetCrashes,
+        crashes: TargetCrashes,
     ) -> None:
-        self._suspects = ends.suspects
-        self._ends = ends
+        self._suspects = crashes.suspects
+        self._ends = crashes
         self._selector = selector
         self._pool = pool
         self._budget = budget
         self._dialect = dialect
         self._logger = logger
 
-    def serve(self, context: Context) -> WholeAnswer:
+    def serve(self, context: Context) -> CompleteResponse:
         """Get the answer to a request.
 
         Raises:
@@ -75,7 +75,7 @@
         """
         tried: set[str] = set()
         denied: set[str] = set()
-        failure: WholeAnswer | None = None
+        failure: CompleteResponse | None = None
         ran = 0
         refusals = 0
         while True:
@@ -92,17 +92,17 @@
                 if refusals >= _MAX_REFUSALS:
                     return self._give_up(context, failure, ran)
                 continue
-            except UnknownRunError as error:
+            except OutcomeUnknownError as error:
                 self._note(context, candidate, error.reason, "unknown")
                 ran += 1
                 self._ends.record_failure(
-                    candidate.target, [context.work], error.reason
+                    candidate.target, [context.fingerprint], error.reason
                 )
-                if not can_repeat or self._suspects.is_quarantined(context.work):
+                if not can_repeat or self._suspects.is_quarantined(context.fingerprint):
                     return self._give_up(context, failure, ran)
                 continue
             ran += 1
-            self._suspects.record_success(candidate.target, context.work)
+            self._suspects.record_success(candidate.target, context.fingerprint)
             if answer.status < _SERVER_ERROR or not can_repeat:
                 return answer
             failure = answer
@@ -132,13 +132,15 @@
 
     def _pick(self, context: Context, exclude: set[str]) -> Candidate | None:
         service = context.service.name
-        if self._suspects.is_suspect(context.work):
-            return self._selector.pick_least_loaded(service, exclude, context.work)
+        if self._suspects.is_suspect(context.fingerprint):
+            return self._selector.pick_least_loaded(
+                service, exclude, context.fingerprint
+            )
         return self._selector.pick(service, exclude)
 
     def _try(
         self, context: Context, candidate: Candidate, *, can_repeat: bool
-    ) -> WholeAnswer:
+    ) -> CompleteResponse:
         state = candidate.state
         limit = context.remaining
         if can_repeat and self._budget.remaining(context.service.name) >= 1:
@@ -148,20 +150,20 @@
             dispatch = Dispatch(candidate.target, context.remaining, context.team)
             reply = attempt.send(dispatch, limit=limit)
             body = attempt.read_body(limit=limit, most=_MAX_ANSWER_BYTES)
-            if reply.head.status in PROMISES:
-                raise UnknownRunError(f"status {reply.head.status}")
-            state.record_success(now() - attempt.began_at)
+            if reply.head.status in NOT_RUN_STATUSES:
+                raise OutcomeUnknownError(f"status {reply.head.status}")
+            state.record_success(now() - attempt.started_at)
         headers = list(end_to_end_headers(reply.head.headers))
-        return WholeAnswer(reply.head.status, headers, body)
+        return CompleteResponse(reply.head.status, headers, body)
 
     def _give_up(
-        self, context: Context, failure: WholeAnswer | None, ran: int
-    ) -> WholeAnswer:
+        self, context: Context, failure: CompleteResponse | None, ran: int
+    ) -> CompleteResponse:
         if failure is not None:
             return failure
         if not ran:
             wait = self._selector.permit_wait(context.service.name)
-            raise context.refuse(
+            raise context.rejection_error(
                 ErrorKind.NO_TARGET,
                 "no target took the request",
                 retry_after=add_jitter(wait),
@@ -176,7 +178,7 @@
         self._logger.warning(
             "attempt_failed",
             request=context.head.id,
-            work=context.work,
+            work=context.fingerprint,
             target=candidate.target.id,
             reason=reason,
             ran=ran,
--- a/packages/serving/bergamotsaddle_serving/server.py
+++ b/packages/serving/bergamotsaddle_serving/server.py
@@ -118,7 +118,7 @@
             logger,
             policy,
         )
-        ends = TargetCrashes(self.pool, self.view, self.suspects)
+        crashes = TargetCrashes(self.pool, self.view, self.suspects)
         self.limits = NamedLimits(self.gossip, self.gossip_exchange.publish, logger)
         self.health = Health(self.limits.record)
         self.rate_owner = RateOwner(self.peers.reachable_fraction)
@@ -135,7 +135,7 @@
             logger,
             policy,
             fetch_times,
-            ends=ends,
+            crashes=crashes,
         )
         budget = RetryBudget(settings.bounds, self.peers.size)
         cold = ColdRateLimiter(self.peers.size)
@@ -150,7 +150,7 @@
             budget,
             dialect,
             logger,
-            ends=ends,
+            crashes=crashes,
         )
         streams = StreamServer(
             selector,
@@ -162,7 +162,7 @@
             logger,
             policy,
             fetch_times,
-            ends=ends,
+            crashes=crashes,
         )
         self.handler = Handler(
             self.view,
@@ -259,7 +259,7 @@
         while now() < limit and self._is_busy():
             self._close_idle()
             eventlet.sleep(_STOP_STEP_S)
-        self.handler.end_all()
+        self.handler.abort_all()
         eventlet.sleep(_ANSWER_S)
         self._close_idle()
         self.logger.info("stopped", active=self.handler.active)
@@ -276,7 +276,7 @@
         while True:
             due_at = now() + _TICK_S
             eventlet.sleep(_TICK_S)
-            self.usage.note_delay(now() - due_at)
+            self.usage.record_delay(now() - due_at)
             self._report_usage()
             self._note_view()
             self.pool.prune()
@@ -285,13 +285,13 @@
             self.rate_owner.forget_idle()
             self.owner.hand_over()
             self.owner.drop_orphans()
-            self.stage_exchange.repeat_releases()
+            self.stage_exchange.resend_releases()
             if self._asked_to_reload:
                 self._asked_to_reload = False
                 self._reload()
 
     def _report_usage(self) -> None:
-        usage = self.usage.take()
+        usage = self.usage.collect()
         if usage is not None:
             self.logger.info(
                 "usage",
@@ -363,12 +363,12 @@
         gauge(
             "stage_calls",
             "Calls to stage targets.",
-            lambda: self.owner.caller.calls_made,
+            lambda: self.owner.dispatcher.calls_made,
         )
         gauge(
             "stage_pieces",
             "Pieces in these calls.",
-            lambda: self.owner.caller.pieces_sent,
+            lambda: self.owner.dispatcher.pieces_sent,
         )
         gauge("connections_opened", "New connections.", lambda: self.pool.opened)
         gauge(
--- a/packages/serving/bergamotsaddle_serving/stage_caller.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -8,7 +8,7 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving._stage_worker import ServiceQueue, Worker
 from bergamotsaddle_serving.client import ConnectionLostError
-from bergamotsaddle_serving.fetching import FAST_LINK, FetchTimes
+from bergamotsaddle_serving.fetching import DEFAULT_FETCH_TIMES, FetchTimes
 from bergamotsaddle_serving.messages import PieceFailure, PieceResult
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 from bergamotsaddle_serving.stage_calls import StageCalls
@@ -18,7 +18,7 @@
     isolate_suspects,
 )
 from bergamotsaddle_serving.stage_releases import StageReleases
-from bergamotsaddle_serving.stage_results import Ended, StageResults
+from bergamotsaddle_serving.stage_results import FinishedPiece, StageResults
 from bergamotsaddle_serving.target_crashes import TargetCrashes
 
 # A call that takes this many times its expected time, and a little, counts as lost: a
@@ -51,7 +51,7 @@
     return _HANDLE_BYTES * sum(1 + len(piece.inputs) for piece in batch)
 
 
-class StageCaller:
+class StageDispatcher:
     """Takes pieces out of a queue for one target at a time and calls it.
 
     Args:
@@ -75,11 +75,11 @@
         releases: StageReleases,
         logger: Any,
         policy: Policy = FULL_POLICY,
-        fetch_times: FetchTimes = FAST_LINK,
+        fetch_times: FetchTimes = DEFAULT_FETCH_TIMES,
         *,
-        ends: TargetCrashes,
+        crashes: TargetCrashes,
     ) -> None:
-        self._ends = ends
+        self._ends = crashes
         self._policy = policy
         self._fetch_times = fetch_times
         self._calls = calls
@@ -94,7 +94,7 @@
         while queue.worker_by_life.get(worker.target.incarnation) is worker:
             moment = now()
             if worker.rest_until > moment:
-                self.turn_away(queue)
+                self.reject_if_no_target(queue)
                 eventlet.sleep(min(_IDLE_CHECK_S, worker.rest_until - moment))
                 continue
             # Asked first, a dead target holds no pieces up for a whole call.
@@ -261,7 +261,7 @@
         results: list[PieceResult],
     ) -> None:
         moment = now()
-        ended: list[Ended] = []
+        ended: list[FinishedPiece] = []
         needless: list[str] = []
         for piece, result in zip(batch, results, strict=True):
             if result.handle:
@@ -276,7 +276,7 @@
         self._releases.give_up(queue, needless)
         self._results.finish(queue, ended)
 
-    def turn_away(self, queue: ServiceQueue) -> None:
+    def reject_if_no_target(self, queue: ServiceQueue) -> None:
         """Send all pieces back if every target rests after failures.
 
         They have better chances at another queue, and their senders choose that.
@@ -290,4 +290,4 @@
         if worker.is_shared() or not self._policy.has(Mechanism.EARLY_RELEASE):
             return None
         delay = self._fetch_times.seconds(_input_bytes(batch), _call_bytes(batch))
-        return eventlet.spawn_after(delay, self._results.tell_started, queue, batch)
+        return eventlet.spawn_after(delay, self._results.send_started, queue, batch)
--- a/packages/serving/bergamotsaddle_serving/stage_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/stage_exchange.py
@@ -45,7 +45,7 @@
         self._owner = owner
         self._inbox_by_request: dict[str, LightQueue] = {}
         self._sent_releases: deque[_SentRelease] = deque()
-        owner.results.deliver_here = self.deliver
+        owner.results.deliver_locally = self.deliver
         peers.set_handler(Submit, self._serve)
         peers.set_handler(Accepted, self._take_acknowledgement)
         peers.set_handler(Started, lambda message, _: self.deliver(message))
@@ -71,7 +71,7 @@
         if inbox is not None:
             inbox.put(message)
 
-    def successor(self, owner: str, service: str, scope: str) -> str:
+    def current_owner(self, owner: str, service: str, scope: str) -> str:
         """The owner itself while it lives, else the one in its place."""
         if owner == self.peers.own.id or self.peers.is_alive(owner):
             return owner
@@ -96,12 +96,12 @@
             scope: Zone or region of the queue.
             message: The results.
         """
-        owner = self.successor(owner, message.service, scope)
+        owner = self.current_owner(owner, message.service, scope)
         self.send(owner, message)
         if owner != self.peers.own.id:
             self._sent_releases.append(_SentRelease(now(), owner, scope, message))
 
-    def repeat_releases(self) -> None:
+    def resend_releases(self) -> None:
         """Send releases again whose owner fell silent just after they were sent.
 
         Until an owner's death is noticed, what it is sent is lost; the results would
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -8,7 +8,7 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_serving._stage_worker import Sender, ServiceQueue, Worker
 from bergamotsaddle_serving.catalog import Target
-from bergamotsaddle_serving.fetching import FAST_LINK, FetchTimes
+from bergamotsaddle_serving.fetching import DEFAULT_FETCH_TIMES, FetchTimes
 from bergamotsaddle_serving.messages import Dialect, PieceFailure
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.peer_messages import (
@@ -22,8 +22,8 @@
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 from bergamotsaddle_serving.scopes import Scopes
-from bergamotsaddle_serving.stage_caller import StageCaller
 from bergamotsaddle_serving.stage_calls import StageCalls
+from bergamotsaddle_serving.stage_dispatcher import StageDispatcher
 from bergamotsaddle_serving.stage_load import PLACES, place
 from bergamotsaddle_serving.stage_queue import (
     PieceKey,
@@ -71,9 +71,9 @@
         reach: ZoneReach,
         logger: Any,
         policy: Policy = FULL_POLICY,
-        fetch_times: FetchTimes = FAST_LINK,
+        fetch_times: FetchTimes = DEFAULT_FETCH_TIMES,
         *,
-        ends: TargetCrashes,
+        crashes: TargetCrashes,
     ) -> None:
         self._view = view
         self._policy = policy
@@ -85,14 +85,14 @@
         self.scopes = Scopes(view, peers, policy)
         self.results = StageResults(peers)
         self._releases = StageReleases(view, reach, calls, dialect, logger)
-        self.caller = StageCaller(
+        self.dispatcher = StageDispatcher(
             calls,
             self.results,
             self._releases,
             logger,
             policy,
             fetch_times,
-            ends=ends,
+            crashes=crashes,
         )
         view.subscribe(self._retire)
         reach.subscribe(self._retire)
@@ -270,7 +270,7 @@
             worker = Worker(target, queue.queue.batching)
             queue.worker_by_life[target.incarnation] = worker
             for _ in range(queue.queue.batching.slots):
-                eventlet.spawn_n(self._keep_working, self.caller.run, queue, worker)
+                eventlet.spawn_n(self._keep_working, self.dispatcher.run, queue, worker)
             eventlet.spawn_n(self._keep_working, self._releases.run, queue, worker)
 
     def _dismiss(self, queue: ServiceQueue, lives: set[tuple[str, int]]) -> None:
@@ -316,7 +316,7 @@
     def _retire(self) -> None:
         for queue in self._queue_by_service.values():
             self._hire(queue)
-            self.caller.turn_away(queue)
+            self.dispatcher.reject_if_no_target(queue)
             queue.wake()
 
     def _take(
--- a/packages/serving/bergamotsaddle_serving/stage_results.py
+++ b/packages/serving/bergamotsaddle_serving/stage_results.py
@@ -8,7 +8,7 @@
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.stage_queue import PieceKey, QueuedPiece
 
-Ended = tuple[PieceKey, PieceResult]
+FinishedPiece = tuple[PieceKey, PieceResult]
 
 
 def _no_receiver(message: Results | Started) -> None:
@@ -27,9 +27,9 @@
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
-        self.deliver_here: Callable[[Results | Started], None] = _no_receiver
+        self.deliver_locally: Callable[[Results | Started], None] = _no_receiver
 
-    def finish(self, queue: ServiceQueue, ended: Iterable[Ended]) -> None:
+    def finish(self, queue: ServiceQueue, ended: Iterable[FinishedPiece]) -> None:
         """Tell how pieces ended, and keep their results in case a datagram is lost."""
         done_by_stage: dict[tuple[str, int, int], list[PieceOutcome]] = {}
         for key, result in ended:
@@ -47,7 +47,7 @@
         queue.queue.piece_by_key.clear()
         self.finish(queue, [(key, PieceResult("", reason)) for key in keys])
 
-    def tell_started(self, queue: ServiceQueue, batch: list[QueuedPiece]) -> None:
+    def send_started(self, queue: ServiceQueue, batch: list[QueuedPiece]) -> None:
         """Tell that a target has fetched the inputs of pieces."""
         numbers: dict[tuple[str, int, int], list[int]] = {}
         for piece in batch:
@@ -63,6 +63,6 @@
         if sender is None:
             return
         if sender.id == self._peers.own.id:
-            self.deliver_here(message)
+            self.deliver_locally(message)
         else:
             self._peers.send(sender.id, message)
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -40,7 +40,7 @@
 _NO_TARGET_PAUSE_S = 0.05
 
 
-class StageEnd(NamedTuple):
+class StageOutcome(NamedTuple):
     """What the stages of a request came to.
 
     Attributes:
@@ -106,13 +106,13 @@
         *,
         urgency: int,
         deadline_at: float,
-        spread: Callable[[str, int, int], list[tuple[str, int]]],
-        coming: PendingWork,
-        keep_seconds: Callable[[str], float],
+        choose_queues: Callable[[str, int, int], list[tuple[str, int]]],
+        pending: PendingWork,
+        ttl_seconds: Callable[[str], float],
         first_round: int = 0,
-        work: str = "",
+        fingerprint: str = "",
     ) -> None:
-        self._work = work
+        self._fingerprint = fingerprint
         self._head = head
         self._route = route
         self._plan = plan
@@ -120,7 +120,7 @@
         self._logger = logger
         self._urgency = urgency
         self._deadline_at = deadline_at
-        self._spread = spread
+        self._spread = choose_queues
         self._inbox = exchange.open(head.id)
         self._open: list[_Open] = []
         self._results_by_stage: dict[int, dict[int, str]] = {}
@@ -128,15 +128,15 @@
         self._owners: set[str] = set()
         self._failures = 0
         self._round = first_round
-        self._coming = coming
-        self._keep_seconds = keep_seconds
+        self._coming = pending
+        self._keep_seconds = ttl_seconds
         self._announced: dict[int, int] = {}
         self._started_by_stage: dict[int, set[int]] = {}
         self._begun_by_stage: dict[int, float] = {}
         self._ended_by_stage: dict[int, float] = {}
         self._expires_by_stage: dict[int, float] = {}
 
-    def run(self) -> StageEnd:
+    def run(self) -> StageOutcome:
         """Have all stages done.
 
         Raises:
@@ -153,7 +153,7 @@
             for stage in self._plan.sinks
             for number in sorted(self._results_by_stage.get(stage, ()))
         ]
-        return StageEnd(tuple(handles), now() - began_at, self._times())
+        return StageOutcome(tuple(handles), now() - began_at, self._times())
 
     def _times(self) -> list[tuple[int, str, float, float]]:
         return [
@@ -272,7 +272,7 @@
             objective=self._plan.objective_at(opened.number) - moment,
             remaining=remaining,
             round=opened.round,
-            fingerprint=self._work,
+            fingerprint=self._fingerprint,
         )
         opened.unacknowledged += 1
         opened.next_at = moment + _ACK_LIMIT_S
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -15,11 +15,11 @@
     retry_after,
 )
 from bergamotsaddle_serving.attempt import (
-    PROMISES,
+    NOT_RUN_STATUSES,
     Attempt,
     NotRunError,
-    Reply,
-    UnknownRunError,
+    OutcomeUnknownError,
+    Response,
 )
 from bergamotsaddle_serving.budget import RetryBudget
 from bergamotsaddle_serving.caller import CallerConnection
@@ -34,7 +34,7 @@
     unshared_tokens,
 )
 from bergamotsaddle_serving.events import EventSplitter
-from bergamotsaddle_serving.fetching import FAST_LINK, FetchTimes
+from bergamotsaddle_serving.fetching import DEFAULT_FETCH_TIMES, FetchTimes
 from bergamotsaddle_serving.messages import Dialect, Dispatch
 from bergamotsaddle_serving.policy import FULL_POLICY, Policy
 from bergamotsaddle_serving.selector import Candidate, Selector
@@ -90,13 +90,13 @@
         dialect: Dialect,
         logger: Any,
         policy: Policy = FULL_POLICY,
-        fetch_times: FetchTimes = FAST_LINK,
+        fetch_times: FetchTimes = DEFAULT_FETCH_TIMES,
         *,
-        ends: TargetCrashes,
+        crashes: TargetCrashes,
     ) -> None:
         self.policy = policy
-        self.suspects = ends.suspects
-        self.ends = ends
+        self.suspects = crashes.suspects
+        self.crashes = crashes
         self.fetch_times = fetch_times
         self.selector = selector
         self.waits = waits
@@ -105,7 +105,7 @@
         self.budget = budget
         self.dialect = dialect
         self.logger = logger
-        self.mix = UrgencyDistribution()
+        self.urgencies = UrgencyDistribution()
         self._known_until: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def serve(self, context: Context, caller: CallerConnection) -> None:
@@ -114,7 +114,7 @@
         Raises:
             RequestError: If nothing of the answer has been sent yet.
         """
-        self.mix.record(context.urgency, now())
+        self.urgencies.record(context.urgency, now())
         run = _StreamRun(self, context, caller)
         try:
             run.run()
@@ -127,8 +127,8 @@
         head = context.head
         key = prefix_key(head.prompt)
         views = [self._view(candidate, key) for candidate in found]
-        if self.suspects.is_suspect(context.work):
-            views = isolate_engine(views, context.work)
+        if self.suspects.is_suspect(context.fingerprint):
+            views = isolate_engine(views, context.fingerprint)
         seconds_by_zone = {
             zone: self.stage_seconds(context, zone) for zone in {v.zone for v in views}
         }
@@ -153,7 +153,7 @@
             zone,
             self.waits.best_scope,
             urgency=context.urgency,
-            started_at=context.began_at,
+            started_at=context.started_at,
             finish_seconds=finish,
             policy=self.policy,
         )
@@ -162,7 +162,7 @@
         """The candidate with an engine's id."""
         return self.selector.find(context.service.name, engine.id)
 
-    def note_known(self, target_id: str, context: Context) -> None:
+    def record_cached_prefix(self, target_id: str, context: Context) -> None:
         """Note that an engine has read the shared parts of a prompt."""
         key = (target_id, prefix_key(context.head.prompt))
         self._known_until[key] = now() + _KNOWN_S
@@ -273,10 +273,10 @@
         forecast = Forecast(
             seconds=choice.seconds,
             idle_seconds=plan.idle_seconds() + choice.idle_seconds,
-            objective=context.began_at + context.route.objective - now(),
-            left=context.first_by - now(),
+            objective=context.started_at + context.route.objective - now(),
+            left=context.first_event_by - now(),
         )
-        more_urgent = self._server.mix.more_urgent_fraction(context.urgency)
+        more_urgent = self._server.urgencies.more_urgent_fraction(context.urgency)
         is_admitted = admits(forecast, more_urgent, self._server.policy)
         self._server.logger.info(
             "admit" if is_admitted else "turn_away",
@@ -292,7 +292,7 @@
         )
         if is_admitted:
             return
-        raise context.refuse(
+        raise context.rejection_error(
             ErrorKind.DEADLINE_INFEASIBLE,
             f"expected to take {choice.seconds:.2f} s",
             retry_after=retry_after(forecast),
@@ -313,18 +313,20 @@
             self._server.exchange,
             self._server.logger,
             urgency=context.urgency,
-            deadline_at=context.first_by,
-            spread=lambda service, stage, count: self._server.waits.choose_queues(
-                service,
-                context.route.stages[stage],
-                count,
-                place(context.urgency, has_started=bool(plan.predecessors(stage))),
-                plan,
+            deadline_at=context.first_event_by,
+            choose_queues=lambda service, stage, count: (
+                self._server.waits.choose_queues(
+                    service,
+                    context.route.stages[stage],
+                    count,
+                    place(context.urgency, has_started=bool(plan.predecessors(stage))),
+                    plan,
+                )
             ),
-            coming=self._server.waits.pending,
-            keep_seconds=self._server.waits.ttl_seconds,
+            pending=self._server.waits.pending,
+            ttl_seconds=self._server.waits.ttl_seconds,
             first_round=first_round,
-            work=context.work,
+            fingerprint=context.fingerprint,
         )
         try:
             end = self._stages.run()
@@ -363,24 +365,26 @@
             self._note(candidate, error.reason, "no", error.status)
             self._handle_refusal(candidate, error)
             return False
-        except UnknownRunError as error:
+        except OutcomeUnknownError as error:
             self._note(candidate, error.reason, "unknown")
             target = candidate.target
-            self._server.ends.record_failure(target, [context.work], error.reason)
+            self._server.crashes.record_failure(
+                target, [context.fingerprint], error.reason
+            )
             self._exclude.add(target.id)
             self._has_run += 1
             self._check_resumable()
             return False
-        self._server.suspects.record_success(candidate.target, context.work)
+        self._server.suspects.record_success(candidate.target, context.fingerprint)
         return True
 
     def _check_harmless(self) -> None:
         """End a request that has become known to end its targets."""
-        if not self._server.suspects.is_quarantined(self._context.work):
+        if not self._server.suspects.is_quarantined(self._context.fingerprint):
             return
         if self._has_run:
             raise self._end("targets ended while they ran it")
-        raise self._context.hold_back()
+        raise self._context.quarantine_error()
 
     def _send(self, candidate: Candidate, choice: EngineChoice) -> None:
         context = self._context
@@ -413,7 +417,7 @@
                 data = attempt.read_some(limit=limit)
                 state.prompt_tokens_ahead -= tokens
                 is_reading = False
-                seconds = now() - attempt.began_at
+                seconds = now() - attempt.started_at
                 state.record_success(seconds)
                 server.logger.info(
                     "first_event",
@@ -422,9 +426,9 @@
                     seconds=round(seconds, 3),
                     expected=round(choice.finish_seconds, 3),
                     tokens=tokens,
-                    since=round(now() - context.began_at, 3),
+                    since=round(now() - context.started_at, 3),
                 )
-                server.note_known(candidate.target.id, context)
+                server.record_cached_prefix(candidate.target.id, context)
                 self._release_inputs()
                 self._relay(attempt, reply, splitter, data)
         finally:
@@ -440,7 +444,7 @@
     def _relay(
         self,
         attempt: Attempt,
-        reply: Reply,
+        reply: Response,
         splitter: EventSplitter,
         data: bytes | None,
     ) -> None:
@@ -452,11 +456,11 @@
                     self._last_id = event.id
             data = attempt.read_some(limit=self._silence_limit())
         self._start(reply)
-        if splitter.rest:
-            self._caller.send(splitter.rest)
+        if splitter.remainder:
+            self._caller.send(splitter.remainder)
         self._caller.finish()
 
-    def _start(self, reply: Reply) -> None:
+    def _start(self, reply: Response) -> None:
         if self._has_started:
             return
         self._has_started = True
@@ -484,13 +488,13 @@
             self._inputs = None
         self.release()
 
-    def _pass_failure(self, attempt: Attempt, reply: Reply) -> None:
+    def _pass_failure(self, attempt: Attempt, reply: Response) -> None:
         status = reply.head.status
         body = attempt.read_body(limit=self._silence_limit(), most=_MAX_ANSWER_BYTES)
-        if status in PROMISES or self._has_started:
-            raise UnknownRunError(f"status {status}")
+        if status in NOT_RUN_STATUSES or self._has_started:
+            raise OutcomeUnknownError(f"status {status}")
         if status >= 500 and self._may_run_again():
-            raise UnknownRunError(f"status {status}")
+            raise OutcomeUnknownError(f"status {status}")
         self._caller.respond(status, list(end_to_end_headers(reply.head.headers)), body)
 
     def _handle_refusal(self, candidate: Candidate, error: NotRunError) -> None:
@@ -522,7 +526,7 @@
         if self._has_run:
             return RequestError(ErrorKind.TARGET_FAILED, detail, ran=Ran.UNKNOWN)
         wait = self._server.selector.permit_wait(self._context.service.name)
-        return self._context.refuse(
+        return self._context.rejection_error(
             ErrorKind.NO_TARGET, detail, retry_after=add_jitter(wait)
         )
 
@@ -546,7 +550,7 @@
         self._server.logger.warning(
             "attempt_failed",
             request=self._context.head.id,
-            work=self._context.work,
+            work=self._context.fingerprint,
             target=candidate.target.id,
             reason=reason,
             status=status,
--- a/packages/serving/bergamotsaddle_serving/usage.py
+++ b/packages/serving/bergamotsaddle_serving/usage.py
@@ -52,11 +52,11 @@
         self._counts_before = self._read()
         self._delay = 0.0
 
-    def note_delay(self, seconds: float) -> None:
+    def record_delay(self, seconds: float) -> None:
         """Note by how much a timer fired late."""
         self._delay = max(self._delay, seconds)
 
-    def take(self) -> Usage | None:
+    def collect(self) -> Usage | None:
         """The usage since the last report, None before the interval is over."""
         elapsed = now() - self._began_at
         if elapsed < REPORT_INTERVAL_S:
--- a/packages/standins/bergamotsaddle_standins/virtual_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_fleet.py
@@ -152,12 +152,12 @@
         cold = ColdRateLimiter(peers.size)
         selector = Selector(self.view, self.health, peers, cold, reach, rates)
         self.suspects = Suspects(gossip, tell, self.view.software_versions, SILENT)
-        ends = TargetCrashes(pool, self.view, self.suspects)
-        plain = PlainServer(selector, pool, budget, dialect, SILENT, ends=ends)
+        crashes = TargetCrashes(pool, self.view, self.suspects)
+        plain = PlainServer(selector, pool, budget, dialect, SILENT, crashes=crashes)
         # Its routes have no stages.
         waits = SimpleNamespace(best_scope=None)
         streams = StreamServer(
-            selector, waits, None, pool, budget, dialect, SILENT, ends=ends
+            selector, waits, None, pool, budget, dialect, SILENT, crashes=crashes
         )
         self.handler = Handler(
             self.view,
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -103,7 +103,7 @@
 
         def run_stages(run, choice):
             suspects = run._server.suspects
-            were_held.append(suspects.is_quarantined(run._context.work))
+            were_held.append(suspects.is_quarantined(run._context.fingerprint))
 
         with mock.patch.object(streams._StreamRun, "_run_stages", run_stages):
             for number in range(4):
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from bergamotsaddle_daemon.clock import now
-from bergamotsaddle_serving.attempt import Attempt, UnknownRunError
+from bergamotsaddle_serving.attempt import Attempt, OutcomeUnknownError
 from bergamotsaddle_serving.client import ConnectionLostError
 from bergamotsaddle_serving.fetching import FetchTimes
 from tests._paused import advance
@@ -58,7 +58,7 @@
         )
 
         def send():
-            with self.assertRaises(UnknownRunError), attempt:
+            with self.assertRaises(OutcomeUnknownError), attempt:
                 attempt.send(
                     mock.MagicMock(),
                     limit=1.0,
--- a/tests/test_serving_events.py
+++ b/tests/test_serving_events.py
@@ -22,7 +22,7 @@
             events += splitter.feed(data[begin : begin + size])
         self.assertEqual([event.data for event in events], [ONE, TWO])
         self.assertEqual([event.id for event in events], [1, 2])
-        self.assertEqual(splitter.rest, b"")
+        self.assertEqual(splitter.remainder, b"")
 
     def test_a_part_of_an_event_is_kept_back(self):
         """An engine dies in the middle of an event and another one goes on.
@@ -32,7 +32,7 @@
         """
         splitter = EventSplitter()
         self.assertEqual(len(splitter.feed(ONE + TWO[:9])), 1)
-        self.assertEqual(splitter.rest, TWO[:9])
+        self.assertEqual(splitter.remainder, TWO[:9])
 
     def test_line_ends_and_missing_ids(self):
         splitter = EventSplitter()
--- a/tests/test_serving_stop.py
+++ b/tests/test_serving_stop.py
@@ -61,7 +61,7 @@
         client.sendall(REQUEST)
         eventlet.sleep(0.05)
         self.assertEqual(handler.active, 1)
-        handler.end_all()
+        handler.abort_all()
         self.assertIn(status, client.recv(1000))
         eventlet.sleep(0.01)
         self.assertEqual(handler.active, 0)
@@ -97,5 +97,7 @@
         ]
     )
     def test_giving_up_says_what_is_known(self, is_sent, kind):
-        error = make_context(is_sent=is_sent).give_up(ErrorKind.DEADLINE_PASSED, "x")
+        error = make_context(is_sent=is_sent).abort_error(
+            ErrorKind.DEADLINE_PASSED, "x"
+        )
         self.assertEqual(error.kind, kind)
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -135,7 +135,7 @@
             dialect,
             self.reach,
             mock.Mock(),
-            ends=TargetCrashes(pool, self.view, self.suspects),
+            crashes=TargetCrashes(pool, self.view, self.suspects),
         )
         self.exchange = StageExchange(self.peers, self.owner)
         config = StoreEntry("op/config", 1, msgspec.json.encode(CONFIG))
@@ -148,7 +148,7 @@
         entry = target_entry(name, service, port, zone)
         self.view.apply([entry], 90, source="test")
 
-    def start(self, pieces=(2, 3), stages=STAGES, name="r1", keep_seconds=4.0, work=""):
+    def start(self, pieces=(2, 3), stages=STAGES, name="r1", ttl_seconds=4.0, work=""):
         """Begin the stages of a request."""
         route = ROUTE._replace(stages=stages)
         head = RequestHead(name, b"POST", b"/", "h", "", 8.0, pieces=pieces)
@@ -169,10 +169,10 @@
             mock.Mock(),
             urgency=0,
             deadline_at=now() + 6.0,
-            spread=lambda service, stage, count: [("a", count)],
-            coming=PendingWork(),
-            keep_seconds=lambda service: keep_seconds,
-            work=work,
+            choose_queues=lambda service, stage, count: [("a", count)],
+            pending=PendingWork(),
+            ttl_seconds=lambda service: ttl_seconds,
+            fingerprint=work,
         )
         self.thread = eventlet.spawn(self._run)
         settle()
@@ -254,7 +254,7 @@
             key = PieceKey(f"r{number}", 0, 0)
             queue.queue.add(QueuedPiece(key, 0, False, 9.0, 9.0, 9_000_000, "k", ()))
         worker = mock.Mock(full_call_by=0.0)
-        thread = eventlet.spawn(self.owner.caller._await_news, queue, worker)
+        thread = eventlet.spawn(self.owner.dispatcher._await_news, queue, worker)
         advance(0.001)
         queue.wake()
         advance(0.01)
@@ -367,7 +367,7 @@
         """
         self.peers.owners.side_effect = lambda zone: ["me"]
         self.calls.script = [None, ConnectionLostError("reset")] * 4
-        self.start(keep_seconds=0.25)
+        self.start(ttl_seconds=0.25)
         advance(3.0)
         self.assertEqual([t for t, _ in self.calls.calls].count("t2"), 1)
         self.assertIsInstance(self.thread.wait(), RequestError)
@@ -380,20 +380,20 @@
         message = Release("encode", ["h1"])
         self.peers.is_alive.return_value = True
         self.exchange.release("other", "a", message)
-        self.exchange.repeat_releases()
+        self.exchange.resend_releases()
         self.peers.send.assert_called_once_with("other", message)
         self.peers.is_alive.return_value = False
         self.peers.owners.return_value = ["third"]
-        self.exchange.repeat_releases()
+        self.exchange.resend_releases()
         self.peers.send.assert_called_with("third", message)
 
     def test_releases_are_not_kept_for_ever(self):
         self.peers.is_alive.return_value = True
         self.exchange.release("other", "a", Release("encode", ["h1"]))
         advance(2.0)
-        self.exchange.repeat_releases()
+        self.exchange.resend_releases()
         self.peers.is_alive.return_value = False
-        self.exchange.repeat_releases()
+        self.exchange.resend_releases()
         self.assertEqual(self.peers.send.call_count, 1)
 
     def test_an_owner_that_was_replaced_hands_its_queue_over(self):
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -18,18 +18,18 @@
 
     def test_one_report_an_interval(self):
         advance(REPORT_INTERVAL_S / 2)
-        self.assertIsNone(self.meter.take())
+        self.assertIsNone(self.meter.collect())
         advance(REPORT_INTERVAL_S / 2)
-        self.assertIsNotNone(self.meter.take())
-        self.assertIsNone(self.meter.take())
+        self.assertIsNotNone(self.meter.collect())
+        self.assertIsNone(self.meter.collect())
 
     def test_figures_are_those_of_the_interval(self):
         for spent, sent, delay in ((2.0, 30, 0.5), (1.0, 20, 0.1)):
             self.spent += spent
             self.sent += sent
-            self.meter.note_delay(delay)
+            self.meter.record_delay(delay)
             advance(REPORT_INTERVAL_S)
-            usage = self.meter.take()
+            usage = self.meter.collect()
             self.assertEqual(usage.cpu, spent / REPORT_INTERVAL_S)
             self.assertEqual(usage.counts, {"sent": sent})
             self.assertEqual(usage.delay, delay)
