--- a/packages/daemon/bergamotsaddle_daemon/_rendezvous.py
+++ b/packages/daemon/bergamotsaddle_daemon/_rendezvous.py
@@ -10,7 +10,7 @@
 
 
 @lru_cache(maxsize=_KEPT_WEIGHTS)
-def weigh(candidate: str, key: str) -> bytes:
+def rendezvous_weight(candidate: str, key: str) -> bytes:
     """Weight of a candidate for a key; the highest one is chosen."""
     text = f"{candidate} {key}".encode()
     return hashlib.blake2b(text, digest_size=_WEIGHT_BYTES).digest()
--- a/packages/daemon/bergamotsaddle_daemon/callers.py
+++ b/packages/daemon/bergamotsaddle_daemon/callers.py
@@ -241,7 +241,7 @@
         kind: str,
         rest: list[str],
     ) -> Iterable:
-        self._services.check_kind(kind)
+        self._services.check_declared(kind)
         seconds = _read_seconds(environ, _SERVICE_SECONDS)
         request = Request(team, kind, seconds, team.priority)
         body = read_body(environ, self._settings)
@@ -271,7 +271,7 @@
         if not text:
             detail = f"get a ticket by POST /v1/tickets/{request.name} first"
             raise RequestError(ErrorKind.TICKET_REQUIRED, detail)
-        ticket = self._tickets.open(text, request.team.name, request.name)
+        ticket = self._tickets.verify(text, request.team.name, request.name)
         message = ServiceRequest(
             request.id, request.team.name, request.name, path, body, request.remaining
         )
@@ -281,7 +281,7 @@
         return outcome
 
     def _issue(self, start_response: StartResponse, team: Team, kind: str) -> Iterable:
-        self._services.check_kind(kind)
+        self._services.check_declared(kind)
         if self._views.declaration.is_repeatable(kind):
             detail = f"calls to {kind} may be repeated and need no ticket"
             raise RequestError(ErrorKind.BAD_REQUEST, detail)
@@ -296,8 +296,8 @@
     def _look(
         self, start_response: StartResponse, team: Team, kind: str, text: str
     ) -> Iterable:
-        ticket = self._tickets.open(text, team.name, kind)
-        outcome = self._tickets.look(ticket)
+        ticket = self._tickets.verify(text, team.name, kind)
+        outcome = self._tickets.query_outcome(ticket)
         answer = {"state": outcome.state, "detail": outcome.detail}
         if is_finished(outcome):
             answer["status"] = str(outcome.status)
@@ -317,7 +317,7 @@
         )
 
     def _note_end(self, request: Request, outcome: str) -> None:
-        seconds = now() - request.began_at
+        seconds = now() - request.started_at
         self._costs.count_request(request.team.name, request.name, outcome, seconds)
         self._logger.info(
             "request",
--- a/packages/daemon/bergamotsaddle_daemon/daemon.py
+++ b/packages/daemon/bergamotsaddle_daemon/daemon.py
@@ -29,19 +29,19 @@
 from bergamotsaddle_daemon.calls import Connections
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import Costs
-from bergamotsaddle_daemon.deadlines import StageCosts
 from bergamotsaddle_daemon.decisions import DecisionLog
 from bergamotsaddle_daemon.homes import Homes
 from bergamotsaddle_daemon.links import Handler
 from bergamotsaddle_daemon.operators import OperatorApp
 from bergamotsaddle_daemon.peers import HeartbeatSocket, LinkFactory, Peers
-from bergamotsaddle_daemon.permits import Home, PermitClient
+from bergamotsaddle_daemon.permits import PermitClient, PermitIssuer
 from bergamotsaddle_daemon.placement import Placement
 from bergamotsaddle_daemon.platform import PlatformReader, PlatformWatch
 from bergamotsaddle_daemon.pools import Pools
 from bergamotsaddle_daemon.reports import ReadLoad, ReportPoll
 from bergamotsaddle_daemon.services import ServiceCaller
 from bergamotsaddle_daemon.settings import Settings
+from bergamotsaddle_daemon.stage_latencies import StageLatencies
 from bergamotsaddle_daemon.stages import StageCaller
 from bergamotsaddle_daemon.streams import StreamRelay
 from bergamotsaddle_daemon.targets import Targets
@@ -101,7 +101,7 @@
             link_factory=interfaces.link_factory,
             socket=interfaces.heartbeats,
         )
-        self.home = Home(settings, self.views, self.homes, self.targets)
+        self.home = PermitIssuer(settings, self.views, self.homes, self.targets)
         self.permits = PermitClient(settings, self.homes, self.home, self.peers)
         self.pools = Pools(
             settings, self.views, self.targets, self.permits, self.decisions
@@ -135,7 +135,7 @@
 
     def _build_callers(self, connections: Connections) -> None:
         settings = self.settings
-        times = StageCosts()
+        times = StageLatencies()
         stages = StageCaller(
             settings, self.pools, connections, times, self.costs, self.decisions
         )
@@ -169,10 +169,10 @@
         return {
             StartRecord: self.witness.record_start,
             OutcomeRecord: self.witness.record_outcome,
-            OutcomeQuery: self.tickets.look_here,
-            RunTicket: self.tickets.serve,
-            TicketHandover: self.witness.take_handover,
-            PermitQuery: self.home.ask,
+            OutcomeQuery: self.tickets.handle_outcome_query,
+            RunTicket: self.tickets.handle_run_ticket,
+            TicketHandover: self.witness.apply_handover,
+            PermitQuery: self.home.grant,
             PermitReturn: self._take_permit,
             PermitHandover: self._take_permits,
             DeclarationQuery: self._tell_declaration,
@@ -193,7 +193,7 @@
             self.platform.watch_instances,
             self.reports.run,
             self.placement.run,
-            self.pools.dispatch_for_ever,
+            self.pools.dispatch_forever,
         ):
             self.threads.append(eventlet.spawn(self._keep_running, work))
 
@@ -230,7 +230,7 @@
         self.logger.info("stopped", requests=self.callers.active)
 
     def _is_busy(self) -> bool:
-        return self.callers.active > 0 or self.tickets.running() > 0
+        return self.callers.active > 0 or self.tickets.count_unsettled() > 0
 
     def _hand_over_permits(self) -> None:
         for message in self.home.hand_over():
@@ -244,11 +244,11 @@
                 continue
 
     def _take_permit(self, message: PermitReturn) -> Done:
-        self.home.give_back(message)
+        self.home.release(message)
         return Done()
 
     def _take_permits(self, message: PermitHandover) -> Done:
-        self.home.take_handover(message)
+        self.home.apply_handover(message)
         return Done()
 
     def _tell_declaration(self, message: DeclarationQuery) -> DeclarationText:
--- a/packages/daemon/bergamotsaddle_daemon/homes.py
+++ b/packages/daemon/bergamotsaddle_daemon/homes.py
@@ -4,7 +4,7 @@
 
 from bergamotsaddle_contracts.declaration import DeclaredTarget
 from bergamotsaddle_contracts.instances import LIVE
-from bergamotsaddle_daemon._rendezvous import weigh
+from bergamotsaddle_daemon._rendezvous import rendezvous_weight
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.settings import Settings
 from bergamotsaddle_daemon.views import Views
@@ -29,7 +29,7 @@
         self._views = views
         self._known_entries_by_zone: dict[str, list[str]] = {}
         self.by_target: dict[str, str] = {}
-        self.since: dict[str, float] = {}
+        self.home_since: dict[str, float] = {}
         self.followed: frozenset[str] = frozenset()
         views.watch(self.refresh)
 
@@ -51,9 +51,11 @@
             if known in entries and target.zone not in changed:
                 homes[target.id] = known
             elif entries:
-                homes[target.id] = max(entries, key=lambda e: weigh(e, target.id))
+                homes[target.id] = max(
+                    entries, key=lambda e: rendezvous_weight(e, target.id)
+                )
         own = {target for target, home in homes.items() if home == self._own_id}
-        self.since = {target: self.since.get(target, now()) for target in own}
+        self.home_since = {target: self.home_since.get(target, now()) for target in own}
         self.by_target = homes
         self.followed = self._choose_followed()
 
@@ -62,7 +64,7 @@
         target = self._views.declaration.targets[target_id]
         entries = self._entries_by_zone().get(target.zone, [])
         others = [entry for entry in entries if entry != self._own_id]
-        return max(others, key=lambda e: weigh(e, target_id), default=None)
+        return max(others, key=lambda e: rendezvous_weight(e, target_id), default=None)
 
     def _choose_followed(self) -> frozenset[str]:
         """Choose the homes whose reports this instance gets.
@@ -76,7 +78,7 @@
         entries = [e for e in self._views.instances.entries() if e.id != self._own_id]
         if len(entries) <= self._settings.limits.neighbours:
             return frozenset([self._own_id, *(entry.id for entry in entries)])
-        entries.sort(key=lambda entry: weigh(self._own_id, entry.id))
+        entries.sort(key=lambda entry: rendezvous_weight(self._own_id, entry.id))
         near = [entry.id for entry in entries if entry.zone == own_zone]
         far = [entry.id for entry in entries if entry.zone != own_zone]
         half = self._settings.limits.followed_homes // 2
@@ -108,7 +110,7 @@
 
     def is_own(self, target_id: str) -> bool:
         """Tell whether this instance is the target's home."""
-        return target_id in self.since
+        return target_id in self.home_since
 
 
 def _needs(targets: list[DeclaredTarget]) -> list[tuple[str, str]]:
--- a/packages/daemon/bergamotsaddle_daemon/operators.py
+++ b/packages/daemon/bergamotsaddle_daemon/operators.py
@@ -39,9 +39,9 @@
         "list_age": _round(views.list_age()),
         "list_error": daemon.platform.instances_error,
         "requests": daemon.callers.active,
-        "waiting": daemon.pools.waiting(),
+        "waiting": daemon.pools.count_waiting(),
         "answers_discarded": daemon.connections.answers_discarded,
-        "tickets_running": daemon.tickets.running(),
+        "tickets_running": daemon.tickets.count_unsettled(),
         "peers": [
             {
                 "id": peer.instance.id,
@@ -67,7 +67,7 @@
                 "targets": len(targets),
                 "cold": sum(target.is_cold() for target in targets),
                 "in_flight": sum(target.in_flight for target in targets),
-                "ramp": round(daemon.targets.ramp(zone.name), 2),
+                "ramp": round(daemon.targets.ramp_fraction(zone.name), 2),
             }
         )
     return rows
@@ -157,11 +157,11 @@
 
 
 def _state(daemon: "Daemon", target: Any) -> str:
-    if not daemon.targets.gets_new_work(target):
+    if not daemon.targets.accepts_new_work(target):
         return "out"
     if not daemon.permits.can_use(target):
         return "unused"
-    if target.is_resting():
+    if target.is_backing_off():
         return "resting"
     return "cold" if target.is_cold() else "warm"
 
--- a/packages/daemon/bergamotsaddle_daemon/peers.py
+++ b/packages/daemon/bergamotsaddle_daemon/peers.py
@@ -14,7 +14,7 @@
     InstancesQuery,
     TargetReport,
 )
-from bergamotsaddle_daemon._rendezvous import weigh
+from bergamotsaddle_daemon._rendezvous import rendezvous_weight
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.decisions import DecisionLog
 from bergamotsaddle_daemon.homes import Homes
@@ -184,7 +184,7 @@
         choices = away or alive
         if not choices:
             return None
-        return max(choices, key=lambda peer: weigh(peer.instance.id, nonce))
+        return max(choices, key=lambda peer: rendezvous_weight(peer.instance.id, nonce))
 
     def hear(self, heartbeat: Heartbeat) -> None:
         """Take a peer's heartbeat into account and fetch what it has newer."""
@@ -231,7 +231,7 @@
         for report in heartbeat.reports:
             target = self._targets.by_id.get(report.target_id)
             if target is not None:
-                target.take_report(report, sent_at=heartbeat.echo)
+                target.apply_report(report, sent_at=heartbeat.echo)
 
     def _is_behind(self, heartbeat: Heartbeat) -> bool:
         theirs = (heartbeat.revision, heartbeat.digest)
--- a/packages/daemon/bergamotsaddle_daemon/permits.py
+++ b/packages/daemon/bergamotsaddle_daemon/permits.py
@@ -80,7 +80,7 @@
         return len(self.expiry_by_number) + self.unproven
 
 
-class Home:
+class PermitIssuer:
     """Gives out permits for the targets that this instance is home to.
 
     Args:
@@ -115,7 +115,7 @@
         wait = timing.list_lag + timing.view_limit + timing.permit_lifetime
         return wait * _CLOCK_DRIFT
 
-    def ask(self, query: PermitQuery) -> PermitAnswer:
+    def grant(self, query: PermitQuery) -> PermitAnswer:
         """Grant a permit or say why not. Model: ``grant``."""
         target = self._targets.by_id.get(query.target_id)
         refusal = self._refuse(query.target_id, target)
@@ -142,19 +142,19 @@
         """
         if self._refuse(target_id, self._targets.by_id.get(target_id)):
             return False
-        since = self._homes.since[target_id]
+        since = self._homes.home_since[target_id]
         waited = now() - since >= self.takeover_wait
         return waited or self._was_handed(target_id, since)
 
-    def give_back(self, message: PermitReturn) -> None:
+    def release(self, message: PermitReturn) -> None:
         """Take a permit back after the target answered. Model: ``finish``."""
         grants = self._grants_by_target.get(message.target_id)
         if grants is not None:
             grants.expiry_by_number.pop(message.permit, None)
 
-    def take_handover(self, message: PermitHandover) -> None:
+    def apply_handover(self, message: PermitHandover) -> None:
         """Take over what a stopping home has given out. Model: ``hand_over``."""
-        since = self._homes.since.get(message.target_id, now())
+        since = self._homes.home_since.get(message.target_id, now())
         grants = _Grants(since, now())
         grants.unproven = 0
         for remaining in message.permits:
@@ -167,7 +167,7 @@
         """Stop granting and list what is still out, for the next home."""
         self._stopping = True
         messages = []
-        for target_id in self._homes.since:
+        for target_id in self._homes.home_since:
             grants = self._grants(target_id)
             grants.expire()
             if not grants.unproven:
@@ -192,7 +192,7 @@
         return handed_at is not None and abs(since - handed_at) <= window
 
     def _grants(self, target_id: str) -> _Grants:
-        since = self._homes.since[target_id]
+        since = self._homes.home_since[target_id]
         grants = self._grants_by_target.get(target_id)
         if grants is None:
             grants = _Grants(since, self._proven_from(since))
@@ -234,9 +234,9 @@
             return
         grants.prove(report.in_flight, now() - report.age)
 
-    def watch_warmth(self) -> None:
+    def refresh_grants(self) -> None:
         """Note when a target is warm, so that its next cold start is drained anew."""
-        for target_id in self._homes.since:
+        for target_id in self._homes.home_since:
             target = self._targets.by_id.get(target_id)
             if target is not None:
                 grants = self._grants(target_id)
@@ -254,14 +254,14 @@
     """
 
     def __init__(
-        self, settings: Settings, homes: Homes, home: Home, peers: Peers
+        self, settings: Settings, homes: Homes, home: PermitIssuer, peers: Peers
     ) -> None:
         self._settings = settings
         self._homes = homes
         self._home = home
         self._peers = peers
 
-    def ask(self, target: Target, seconds: float) -> tuple[Permit | None, str]:
+    def request(self, target: Target, seconds: float) -> tuple[Permit | None, str]:
         """Ask for one call's place.
 
         Args:
@@ -292,17 +292,17 @@
         home = self._homes.by_target.get(target.id)
         return home is None or home in self._homes.followed
 
-    def give_back(self, permit: Permit) -> None:
+    def release(self, permit: Permit) -> None:
         """Give a permit back without waiting for the home."""
         message = PermitReturn(permit.target_id, permit.number)
         if permit.home == self._settings.daemon.id:
-            self._home.give_back(message)
+            self._home.release(message)
         else:
             eventlet.spawn_n(self._send_return, permit.home, message)
 
     def _ask_home(self, home: str, query: PermitQuery) -> PermitAnswer:
         if home == self._settings.daemon.id:
-            return self._home.ask(query)
+            return self._home.grant(query)
         return self._peers.call(home, query, self._settings.timing.peer_call)
 
     def _send_return(self, home: str, message: PermitReturn) -> None:
--- a/packages/daemon/bergamotsaddle_daemon/pipelines.py
+++ b/packages/daemon/bergamotsaddle_daemon/pipelines.py
@@ -98,7 +98,7 @@
         """
         for index in range(len(self._pipeline.stages)):
             stage = self._stage(index)
-            need = self._stages.need(self.request, stage, frozenset())
+            need = self._stages.call_requirements(self.request, stage, frozenset())
             pools.check_admission(need)
 
     def run(self) -> Iterator[bytes]:
@@ -138,8 +138,8 @@
         later = self._pipeline.stages[index + 1 :]
         if kind == _GENERATE:
             model = self._pipeline.model
-            return Stage(kind, model, _COMPLETIONS_PATH, b"", later=later)
-        return Stage(kind, "", _STAGE_PATH + kind, b"", later=later)
+            return Stage(kind, model, _COMPLETIONS_PATH, b"", later_kinds=later)
+        return Stage(kind, "", _STAGE_PATH + kind, b"", later_kinds=later)
 
 
 def _parse_output(kind: str, reply: bytes, request: Request) -> Any:
--- a/packages/daemon/bergamotsaddle_daemon/placement.py
+++ b/packages/daemon/bergamotsaddle_daemon/placement.py
@@ -12,12 +12,12 @@
     DeclaredTarget,
 )
 from bergamotsaddle_contracts.errors import PlaceLostError, TargetError
-from bergamotsaddle_daemon._rendezvous import weigh
+from bergamotsaddle_daemon._rendezvous import rendezvous_weight
 from bergamotsaddle_daemon.calls import Call, Connections
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.decisions import DecisionLog
 from bergamotsaddle_daemon.homes import Homes
-from bergamotsaddle_daemon.permits import Home
+from bergamotsaddle_daemon.permits import PermitIssuer
 from bergamotsaddle_daemon.settings import Settings
 from bergamotsaddle_daemon.targets import Target, Targets
 from bergamotsaddle_daemon.views import Views
@@ -108,7 +108,7 @@
 
 def _ranked(targets: list[DeclaredTarget], model: str) -> list[DeclaredTarget]:
     able = [target for target in targets if model in target.models]
-    return sorted(able, key=lambda t: weigh(t.id, model), reverse=True)
+    return sorted(able, key=lambda t: rendezvous_weight(t.id, model), reverse=True)
 
 
 class Placement:
@@ -129,7 +129,7 @@
         settings: Settings,
         views: Views,
         homes: Homes,
-        home: Home,
+        home: PermitIssuer,
         targets: Targets,
         decisions: DecisionLog,
         connections: Connections,
@@ -149,7 +149,7 @@
         """Look and order for ever."""
         while True:
             eventlet.sleep(self._timing.placement)
-            for target_id in list(self._homes.since):
+            for target_id in list(self._homes.home_since):
                 target = self._targets.by_id.get(target_id)
                 if target is not None and target.declared.models:
                     self._look_at(target)
@@ -190,7 +190,7 @@
             holding = [
                 target.declared
                 for target in self._targets.by_id.values()
-                if target.declared.models and self._targets.gets_new_work(target)
+                if target.declared.models and self._targets.accepts_new_work(target)
             ]
             self._last_plan = plan_models(holding, declaration)
         return self._last_plan
@@ -209,7 +209,7 @@
             and other.serves(model)
             and (model in plan.get(other.id, ()) or other.id < target.id)
             for other in self._targets.by_id.values()
-            if other is not target and self._targets.gets_new_work(other)
+            if other is not target and self._targets.accepts_new_work(other)
         )
 
     def _awaits_effect(self, target: Target) -> bool:
--- a/packages/daemon/bergamotsaddle_daemon/pools.py
+++ b/packages/daemon/bergamotsaddle_daemon/pools.py
@@ -66,15 +66,15 @@
             raise PlaceLostError("the permit ran out before the call")
         if self.permit is None and self.target.is_cold():
             raise PlaceLostError("the target turned cold")
-        if not self._pools.targets.gets_new_work(self.target):
+        if not self._pools.targets.accepts_new_work(self.target):
             raise PlaceLostError("the target gets no new work any more")
         self._is_sent = True
 
-    def waited(self) -> float:
+    def elapsed(self) -> float:
         """Seconds since the call began."""
         return now() - self._began_at
 
-    def first_byte_limit(self) -> float:
+    def first_byte_timeout(self) -> float:
         """Seconds to wait for the first byte before trying elsewhere."""
         if self._pool.first_byte == 0.0:
             return math.inf
@@ -95,21 +95,21 @@
         """
         return self._is_sent
 
-    def hear(self) -> None:
+    def record_response_data(self) -> None:
         """The target sent some of its answer."""
         self.target.answered_at = now()
         if self._heard:
             return
         self._heard = True
-        self.target.hear(self.waited(), self._pool.first_byte)
-        self._pool.learn_first_byte(self.waited())
+        self.target.record_first_byte(self.elapsed(), self._pool.first_byte)
+        self._pool.learn_first_byte(self.elapsed())
 
     def finish(self) -> None:
         """The target answered."""
-        self.hear()
+        self.record_response_data()
         self.target.finish()
         self._is_sent = False
-        self._pools.release(self, self.waited())
+        self._pools.release(self, self.elapsed())
 
     def fail(self, error: TargetError) -> None:
         """The target failed."""
@@ -173,7 +173,7 @@
         self._pool_by_need: dict[tuple[str, str], _Pool] = {}
         self._has_waiting = Event()
 
-    def waiting(self) -> int:
+    def count_waiting(self) -> int:
         """Number of calls that wait."""
         return sum(len(pool.queue) for pool in self._pool_by_need.values())
 
@@ -209,7 +209,7 @@
     def release(self, slot: Slot, latency: float | None) -> None:
         """Take a place back and hand it to who waits for it."""
         if slot.permit is not None and not slot.may_still_run():
-            self._permits.give_back(slot.permit)
+            self._permits.release(slot.permit)
         declared = slot.target.declared
         for (kind, model), pool in self._pool_by_need.items():
             if kind != declared.kind or (model and model not in declared.models):
@@ -218,10 +218,10 @@
                 pool.learn(latency)
             self._dispatch(pool)
 
-    def dispatch_for_ever(self) -> None:
+    def dispatch_forever(self) -> None:
         """Serve waiting calls also when room appears without a call ending."""
         while True:
-            if not self.waiting():
+            if not self.count_waiting():
                 self._has_waiting.wait()
             eventlet.sleep(_DISPATCH_PAUSE)
             for pool in list(self._pool_by_need.values()):
@@ -237,7 +237,7 @@
             if target.id not in need.exclude
             and target.serves(need.model)
             and self._permits.can_use(target)
-            and self.targets.gets_new_work(target)
+            and self.targets.accepts_new_work(target)
         ]
 
     def _usable(self, need: Need) -> list[Target]:
@@ -245,7 +245,7 @@
         if not allowed:
             detail = f"no {need.kind} target is in service"
             raise RequestError(ErrorKind.NO_TARGET, detail, ran=need.ran)
-        usable = [target for target in allowed if not target.is_resting()]
+        usable = [target for target in allowed if not target.is_backing_off()]
         if not usable:
             detail = f"every {need.kind} target has just failed"
             raise RequestError(ErrorKind.NO_TARGET, detail, ran=need.ran)
@@ -253,7 +253,7 @@
         return [target for target in usable if not target.is_slow()] or usable
 
     def _has_room(self, target: Target) -> bool:
-        room = target.limit.value * self.targets.ramp(target.declared.zone)
+        room = target.limit.value * self.targets.ramp_fraction(target.declared.zone)
         return target.in_flight < max(1.0, room)
 
     def _try_warm(self, need: Need) -> Slot | None:
@@ -276,7 +276,7 @@
         ]
         cold.sort(key=lambda t: (t.declared.zone != self._settings.daemon.zone, t.id))
         for target in cold:
-            permit, reason = self._permits.ask(target, need.deadline - now())
+            permit, reason = self._permits.request(target, need.deadline - now())
             self._decisions.record(
                 need.request, "permit", target.id if permit else "", reason, len(cold)
             )
--- a/packages/daemon/bergamotsaddle_daemon/reports.py
+++ b/packages/daemon/bergamotsaddle_daemon/reports.py
@@ -10,7 +10,7 @@
 from bergamotsaddle_contracts.messages import TargetReport
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.homes import Homes
-from bergamotsaddle_daemon.permits import Home
+from bergamotsaddle_daemon.permits import PermitIssuer
 from bergamotsaddle_daemon.settings import Settings
 from bergamotsaddle_daemon.targets import Target, Targets
 
@@ -66,7 +66,7 @@
         self,
         settings: Settings,
         homes: Homes,
-        home: Home,
+        home: PermitIssuer,
         targets: Targets,
         read_load: ReadLoad,
     ) -> None:
@@ -82,7 +82,7 @@
         Some at a time if there are many: a datagram that the network has to split
         is lost as soon as one piece is, and the targets would then seem cold.
         """
-        own = (self._targets.by_id.get(i) for i in sorted(self._homes.since))
+        own = (self._targets.by_id.get(i) for i in sorted(self._homes.home_since))
         fresh = [t.report for t in own if t is not None and t.report is not None]
         if len(fresh) <= _REPORTS_AT_ONCE:
             return tuple(fresh)
@@ -93,12 +93,12 @@
     def run(self) -> None:
         """Poll for ever, all home targets at once."""
         while True:
-            for target_id in list(self._homes.since):
+            for target_id in list(self._homes.home_since):
                 target = self._targets.by_id.get(target_id)
                 if target is not None:
                     eventlet.spawn_n(self.poll, target)
             eventlet.sleep(self._settings.timing.report_poll)
-            self._home.watch_warmth()
+            self._home.refresh_grants()
 
     def poll(self, target: Target) -> None:
         """Ask one target for its load."""
@@ -116,4 +116,4 @@
         report = TargetReport(
             target.id, load.cold, load.in_flight, load.age, load.models
         )
-        target.take_report(report, sent_at=asked_at)
+        target.apply_report(report, sent_at=asked_at)
--- a/packages/daemon/bergamotsaddle_daemon/request.py
+++ b/packages/daemon/bergamotsaddle_daemon/request.py
@@ -23,8 +23,8 @@
         self.id = uuid.uuid4().hex
         self.team = team
         self.name = name
-        self.began_at = now()
-        self.deadline = self.began_at + seconds
+        self.started_at = now()
+        self.deadline = self.started_at + seconds
         self.priority = min(_LOWEST_PRIORITY, (team.priority + priority) // 2)
         self.ran = Ran.NO
 
@@ -33,6 +33,6 @@
         """Seconds until the deadline."""
         return self.deadline - now()
 
-    def note_sending(self) -> None:
+    def mark_sent(self) -> None:
         """Note that a byte is about to leave for a target."""
         self.ran = Ran.YES
--- a/packages/daemon/bergamotsaddle_daemon/services.py
+++ b/packages/daemon/bergamotsaddle_daemon/services.py
@@ -66,7 +66,7 @@
         """The declaration in force."""
         return self._views.declaration
 
-    def check_kind(self, kind: str) -> None:
+    def check_declared(self, kind: str) -> None:
         """Make sure that a service of this kind is declared.
 
         Raises:
--- a/packages/daemon/bergamotsaddle_daemon/deadlines.py
+++ b/packages/daemon/bergamotsaddle_daemon/stage_latencies.py
@@ -28,13 +28,13 @@
 _UNKNOWN = Cost(0.0, 0.0)
 
 
-class StageCosts:
+class StageLatencies:
     """Measured costs by pipeline and stage; unknown stages count as free."""
 
     def __init__(self) -> None:
         self.by_stage: dict[tuple[str, str], Cost] = {}
 
-    def learn(self, pipeline: str, stage: str, seconds: float) -> None:
+    def record(self, pipeline: str, stage: str, seconds: float) -> None:
         """Take one answered call into account."""
         known = self.by_stage.get((pipeline, stage))
         if known is None:
--- a/packages/daemon/bergamotsaddle_daemon/stages.py
+++ b/packages/daemon/bergamotsaddle_daemon/stages.py
@@ -15,12 +15,12 @@
 from bergamotsaddle_daemon.calls import Call, Connections
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import FIRST, HEDGE, RETRY, CostKey, Costs
-from bergamotsaddle_daemon.deadlines import StageCosts
 from bergamotsaddle_daemon.decisions import DecisionLog
 from bergamotsaddle_daemon.pools import Pools, Slot
 from bergamotsaddle_daemon.request import Request
 from bergamotsaddle_daemon.retries import RetryBudget
 from bergamotsaddle_daemon.settings import Settings
+from bergamotsaddle_daemon.stage_latencies import StageLatencies
 
 _HEDGE_FACTOR = 2.0
 _MIN_HEDGE_DELAY = 0.05
@@ -36,7 +36,7 @@
         path: Path at the target.
         body: What to post.
         prefix: Start of the prompt, for cache affinity.
-        later: Kinds of the stages after this one.
+        later_kinds: Kinds of the stages after this one.
     """
 
     kind: str
@@ -44,7 +44,7 @@
     path: str
     body: bytes
     prefix: str = ""
-    later: tuple[str, ...] = ()
+    later_kinds: tuple[str, ...] = ()
 
 
 class _Attempt:
@@ -74,7 +74,7 @@
         settings: Settings,
         pools: Pools,
         connections: Connections,
-        times: StageCosts,
+        times: StageLatencies,
         costs: Costs,
         decisions: DecisionLog,
     ) -> None:
@@ -93,7 +93,7 @@
         Raises:
             RequestError: If there is no answer.
         """
-        self.count_plain(request, stage)
+        self.count_first_call(request, stage)
         what = FIRST
         failed: frozenset[str] = frozenset()
         while True:
@@ -103,14 +103,16 @@
             failed |= {attempt.target_id}
             what = self.decide_retry(request, stage, attempt.error)
 
-    def count_plain(self, request: Request, stage: Stage) -> None:
+    def count_first_call(self, request: Request, stage: Stage) -> None:
         """Count the plain call of a stage, which refills the budgets."""
         self._retries.count_call(request.team.name, stage.kind)
         self._hedges.count_call(request.team.name, stage.kind)
 
-    def need(self, request: Request, stage: Stage, exclude: frozenset[str]) -> Need:
+    def call_requirements(
+        self, request: Request, stage: Stage, exclude: frozenset[str]
+    ) -> Need:
         """Say what a call of a stage needs of a target."""
-        kinds = (stage.kind, *stage.later)
+        kinds = (stage.kind, *stage.later_kinds)
         return Need(
             request=request.id,
             team=request.team,
@@ -149,11 +151,13 @@
     def acquire(self, request: Request, stage: Stage, failed: frozenset[str]) -> Slot:
         """Wait for a place, also at targets that failed if there is no other."""
         try:
-            return self._pools.acquire(self.need(request, stage, failed))
+            return self._pools.acquire(self.call_requirements(request, stage, failed))
         except RequestError as error:
             if not failed or error.kind is not ErrorKind.NO_TARGET:
                 raise
-            return self._pools.acquire(self.need(request, stage, frozenset()))
+            return self._pools.acquire(
+                self.call_requirements(request, stage, frozenset())
+            )
 
     def make_call(
         self, request: Request, stage: Stage, slot: Slot, limit: float
@@ -246,14 +250,14 @@
         address = slot.target.declared.address
         attempt.target_id = slot.target.id
         key = self.cost_key(request, stage)
-        later = self._times.total(request.name, stage.later)
+        later = self._times.total(request.name, stage.later_kinds)
         limit = self._times.attempt_limit(
             request.name, stage.kind, request.remaining - later
         )
 
         def guard() -> None:
             slot.check_before_send()
-            request.note_sending()
+            request.mark_sent()
             self._costs.count_call(key, attempt.what)
 
         try:
@@ -268,7 +272,7 @@
         except BaseException:
             slot.abandon()
             raise
-        self._times.learn(request.name, stage.kind, slot.waited())
-        self._costs.count_seconds(key, slot.waited())
+        self._times.record(request.name, stage.kind, slot.elapsed())
+        self._costs.count_seconds(key, slot.elapsed())
         slot.finish()
         return reply.body
--- a/packages/daemon/bergamotsaddle_daemon/streams.py
+++ b/packages/daemon/bergamotsaddle_daemon/streams.py
@@ -14,10 +14,10 @@
 from bergamotsaddle_daemon.calls import CallStream, Connections
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import FIRST, RESUME, RETRY, Costs
-from bergamotsaddle_daemon.deadlines import StageCosts
 from bergamotsaddle_daemon.pools import Slot
 from bergamotsaddle_daemon.request import Request
 from bergamotsaddle_daemon.settings import Settings
+from bergamotsaddle_daemon.stage_latencies import StageLatencies
 from bergamotsaddle_daemon.stages import Stage, StageCaller
 
 _EVENT_END = b"\n\n"
@@ -155,7 +155,7 @@
         settings: Settings,
         stages: StageCaller,
         connections: Connections,
-        times: StageCosts,
+        times: StageLatencies,
         costs: Costs,
     ) -> None:
         self._silence = settings.timing.token_silence
@@ -171,7 +171,7 @@
             RequestError: If the stream can't be completed; what was yielded before
                 is then only a part of the answer.
         """
-        self._stages.count_plain(stream.request, stage)
+        self._stages.count_first_call(stream.request, stage)
         what = FIRST
         failed: frozenset[str] = frozenset()
         while not stream.is_done:
@@ -194,7 +194,7 @@
 
         def guard() -> None:
             slot.check_before_send()
-            request.note_sending()
+            request.mark_sent()
             self._costs.count_call(key, what)
 
         engine: CallStream | None = None
@@ -212,12 +212,12 @@
             slot.abandon()
             raise
         else:
-            self._times.learn(request.name, stage.kind, slot.waited())
+            self._times.record(request.name, stage.kind, slot.elapsed())
             slot.finish()
         finally:
             if engine is not None:
                 engine.close()
-            self._costs.count_seconds(key, slot.waited())
+            self._costs.count_seconds(key, slot.elapsed())
             self._costs.count_tokens(key, len(stream.tokens) - before)
 
     def _events(
@@ -226,7 +226,7 @@
         rest = b""
         # Before its first token a stream can begin anew elsewhere at no cost to the
         # caller, so a slow engine is given up sooner then.
-        silence = min(self._silence, slot.first_byte_limit())
+        silence = min(self._silence, slot.first_byte_timeout())
         while not stream.is_done:
             data = engine.read_some(min(silence, deadline - now()))
             if not data:
@@ -241,7 +241,7 @@
                 and stream.take(event.removeprefix(_DATA))
             ]
             if fresh:
-                slot.hear()
+                slot.record_response_data()
                 silence = self._silence
                 yield b"".join(fresh)
 
--- a/packages/daemon/bergamotsaddle_daemon/targets.py
+++ b/packages/daemon/bergamotsaddle_daemon/targets.py
@@ -68,7 +68,7 @@
         """The target's id."""
         return self.declared.id
 
-    def take_report(self, report: TargetReport, *, sent_at: float) -> None:
+    def apply_report(self, report: TargetReport, *, sent_at: float) -> None:
         """Take a report unless a later one is known.
 
         Args:
@@ -122,7 +122,7 @@
         reported = report.in_flight if report else 0
         return max(self.in_flight, reported) / self.declared.limit
 
-    def is_resting(self) -> bool:
+    def is_backing_off(self) -> bool:
         """Tell whether it is set aside after failures; one probe at a time passes."""
         if self._failed_in_row < _FAILURES_TO_OPEN:
             return False
@@ -141,7 +141,7 @@
         is_failing = self._failed_in_row >= _FAILURES_TO_OPEN
         self._probing = is_failing or self._slow_in_row > 0
 
-    def hear(self, latency: float, usual: float) -> None:
+    def record_first_byte(self, latency: float, usual: float) -> None:
         """Note that it began to answer a call.
 
         The time to the first byte shows waiting at the target; what follows it
@@ -249,7 +249,7 @@
             self.by_kind.setdefault(target.declared.kind, []).append(target)
         self._follow_zones()
 
-    def gets_new_work(self, target: Target) -> bool:
+    def accepts_new_work(self, target: Target) -> bool:
         """Tell whether operators and platform allow new work for a target.
 
         Checked at the moment of choice, so a request that queued before a zone was
@@ -262,7 +262,7 @@
             return False
         return not self._views.instances.is_leaving(target.id)
 
-    def ramp(self, zone: str) -> float:
+    def ramp_fraction(self, zone: str) -> float:
         """Share of its room that a zone's targets get, 1.0 but after a return.
 
         A zone that returns is the least loaded one and would get all new work at
--- a/packages/daemon/bergamotsaddle_daemon/tickets.py
+++ b/packages/daemon/bergamotsaddle_daemon/tickets.py
@@ -124,7 +124,7 @@
         )
         return seal_ticket(ticket, self._settings.daemon.peer_key), ticket
 
-    def open(self, text: str, team: str, kind: str) -> Ticket:
+    def verify(self, text: str, team: str, kind: str) -> Ticket:
         """Read a caller's ticket.
 
         Raises:
@@ -147,10 +147,10 @@
         left = request._replace(remaining=deadline - now())
         return self._settle(ticket, left)
 
-    def look(self, ticket: Ticket) -> Outcome:
+    def query_outcome(self, ticket: Ticket) -> Outcome:
         """Tell what became of a ticket without starting or giving it up."""
         query = OutcomeQuery(ticket)
-        outcome = self.look_here(query)
+        outcome = self.handle_outcome_query(query)
         for instance in (ticket.issuer, ticket.witness):
             if outcome.state == ELSEWHERE and instance not in ("", self._own_id):
                 outcome = self._ask(instance, query, self._timing.peer_call)
@@ -158,28 +158,28 @@
             return Outcome(UNKNOWN, detail="neither issuer nor witness can be reached")
         return outcome
 
-    def look_here(self, message: OutcomeQuery) -> Outcome:
+    def handle_outcome_query(self, message: OutcomeQuery) -> Outcome:
         """Answer a peer's look."""
         ticket = message.ticket
         run = self._run_by_nonce.get(ticket.nonce)
         if run is not None:
             return run.wait(0.0)
         if ticket.witness_incarnation == self._incarnation:
-            return self._witness.look(ticket)
+            return self._witness.query_outcome(ticket)
         if ticket.incarnation != self._incarnation:
             return Outcome(ELSEWHERE)
         return self._refuse_new(ticket) or Outcome(UNUSED, detail="not used yet")
 
-    def serve(self, message: RunTicket) -> Outcome:
+    def handle_run_ticket(self, message: RunTicket) -> Outcome:
         """Answer a peer that forwards a request."""
         ticket = message.ticket
         if self._may_run(ticket):
             return self._run_here(ticket, message.request)
         if ticket.witness == self._own_id:
-            return self._witness.give_up(ticket)
+            return self._witness.cancel_unstarted(ticket)
         return Outcome(ELSEWHERE)
 
-    def running(self) -> int:
+    def count_unsettled(self) -> int:
         """Number of requests whose outcome is not yet known here and at the witness."""
         return self._unsettled
 
@@ -318,7 +318,7 @@
     def _settle(self, ticket: Ticket, request: ServiceRequest) -> Outcome:
         """Ask the witness, since the issuer can't tell."""
         if ticket.witness == self._own_id:
-            return self._witness.give_up(ticket)
+            return self._witness.cancel_unstarted(ticket)
         if ticket.witness == NO_WITNESS:
             return Outcome(UNKNOWN, detail="its issuer is gone and it has no witness")
         limit = max(self._timing.peer_call, request.remaining)
--- a/packages/daemon/bergamotsaddle_daemon/witness.py
+++ b/packages/daemon/bergamotsaddle_daemon/witness.py
@@ -63,7 +63,7 @@
             self._records[message.ticket.nonce] = (known[0], message.outcome)
         return Done()
 
-    def take_handover(self, message: TicketHandover) -> Done:
+    def apply_handover(self, message: TicketHandover) -> Done:
         """Take over the unused tickets of an issuer that stops. Model: ``inherit``.
 
         A used one may have been refused before its start was recorded here. Its
@@ -87,14 +87,14 @@
         """Remember that an inherited ticket is being run here."""
         self._put(ticket, _STARTED)
 
-    def look(self, ticket: Ticket) -> Outcome:
+    def query_outcome(self, ticket: Ticket) -> Outcome:
         """Tell what is remembered of a ticket without changing it."""
         known = self._records.get(ticket.nonce)
         if known is not None:
             return known[1]
         return Outcome(UNKNOWN, detail="the witness has no record of it")
 
-    def give_up(self, ticket: Ticket) -> Outcome:
+    def cancel_unstarted(self, ticket: Ticket) -> Outcome:
         """Tell what became of a ticket; one that wasn't started never will be.
 
         Without the seal the issuer, slow or paused, could still start the request
--- a/packages/serving/bergamotsaddle_serving/engine_choice.py
+++ b/packages/serving/bergamotsaddle_serving/engine_choice.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from bergamotsaddle_daemon._rendezvous import weigh
+from bergamotsaddle_daemon._rendezvous import rendezvous_weight
 from bergamotsaddle_serving.messages import PromptPart
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 
@@ -87,7 +87,7 @@
     """
     by_load = sorted(engines, key=lambda engine: (engine.running, engine.id))
     quiet = by_load[: (len(by_load) + 1) // 2]
-    return sorted(quiet, key=lambda engine: weigh(engine.id, work))[-1:]
+    return sorted(quiet, key=lambda engine: rendezvous_weight(engine.id, work))[-1:]
 
 
 def choose_engine(
@@ -123,7 +123,9 @@
     if not engines:
         return None
     key = prefix_key(prompt)
-    by_weight = sorted(engines, key=lambda e: weigh(e.id, key), reverse=True)
+    by_weight = sorted(
+        engines, key=lambda e: rendezvous_weight(e.id, key), reverse=True
+    )
     own_tokens = unshared_tokens(prompt, prompt_tokens)
     choices = []
     for place, engine in enumerate(by_weight):
--- a/packages/serving/bergamotsaddle_serving/owners.py
+++ b/packages/serving/bergamotsaddle_serving/owners.py
@@ -1,6 +1,6 @@
 """Which instance owns the queue of a stage service in a zone or region."""
 
-from bergamotsaddle_daemon._rendezvous import weigh
+from bergamotsaddle_daemon._rendezvous import rendezvous_weight
 from bergamotsaddle_serving.peers import Peers
 
 
@@ -17,4 +17,6 @@
         scope: The zone or region whose targets the queue is for.
     """
     key = f"{service} {scope}"
-    return sorted(peers.owners(scope), key=lambda peer: weigh(peer, key), reverse=True)
+    return sorted(
+        peers.owners(scope), key=lambda peer: rendezvous_weight(peer, key), reverse=True
+    )
--- a/packages/serving/bergamotsaddle_serving/selector.py
+++ b/packages/serving/bergamotsaddle_serving/selector.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from bergamotsaddle_daemon._rendezvous import weigh
+from bergamotsaddle_daemon._rendezvous import rendezvous_weight
 from bergamotsaddle_serving.budget import ColdRateLimiter
 from bergamotsaddle_serving.catalog import Service, Target
 from bergamotsaddle_serving.health import Health, TargetState
@@ -122,7 +122,10 @@
         found = self.candidates(service, exclude)
         return min(
             found,
-            key=lambda c: (c.state.in_flight + c.others, weigh(c.target.id, work)),
+            key=lambda c: (
+                c.state.in_flight + c.others,
+                rendezvous_weight(c.target.id, work),
+            ),
             default=None,
         )
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -40,7 +40,7 @@
 
     def ask(self, holder: str = "b1", lifetime: float = 5.0) -> PermitAnswer:
         home = self.world.daemons[self.home_id()]
-        return home.home.ask(PermitQuery("stock-a", holder, lifetime))
+        return home.home.grant(PermitQuery("stock-a", holder, lifetime))
 
 
 def call_stock(daemon, seconds: float = 8.0) -> bytes:
@@ -184,7 +184,7 @@
 
         office._ask_home = ask_late
         target = self.world.daemons["b1"].targets.by_id["stock-a"]
-        result = run_green(lambda: office.ask(target, 5.0))
+        result = run_green(lambda: office.request(target, 5.0))
         advance(0.1)
         permit, _ = result.value
         self.assertAlmostEqual(permit.expires_at, now() + 0.9, delta=0.2)
@@ -223,7 +223,7 @@
         # The home sleeps through the change of the list and wakes up as if nothing
         # had happened; meanwhile there may be another home.
         freeze(10.0)
-        answer = self.home.home.ask(PermitQuery("stock-a", "b1", 5.0))
+        answer = self.home.home.grant(PermitQuery("stock-a", "b1", 5.0))
         self.assertFalse(answer.permit)
         self.assertIn("stale", answer.reason)
 
@@ -252,7 +252,7 @@
     def test_stopping_home_grants_nothing(self):
         run_green(lambda: self.home.stop(lambda: None))
         advance(0.1)
-        answer = self.home.home.ask(PermitQuery("stock-a", "b1", 5.0))
+        answer = self.home.home.grant(PermitQuery("stock-a", "b1", 5.0))
         self.assertFalse(answer.permit)
 
     def test_home_again_begins_anew(self):
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,7 +12,6 @@
 from bergamotsaddle_daemon.calls import Reply
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import FIRST, HEDGE, RETRY
-from bergamotsaddle_daemon.deadlines import StageCosts
 from bergamotsaddle_daemon.fair_queue import FairQueue, Waiter
 from bergamotsaddle_daemon.limits import Adaptive
 from bergamotsaddle_daemon.peers import _ring_steps
@@ -21,6 +20,7 @@
 from bergamotsaddle_daemon.retries import RetryBudget
 from bergamotsaddle_daemon.routing import LeastOfFew, RoundRobin, RoutingRequest
 from bergamotsaddle_daemon.settings import parse_settings
+from bergamotsaddle_daemon.stage_latencies import StageLatencies
 from bergamotsaddle_daemon.stages import Stage
 from bergamotsaddle_daemon.streams import Generation, TokenStream
 from bergamotsaddle_daemon.targets import Target
@@ -41,7 +41,7 @@
         name, address, zone, "generate", (), 1, 10, 1, True, False, False, True, ()
     )
     target = Target(declared, SETTINGS, 1)
-    target.take_report(TargetReport(name, False, 0, 0.0), sent_at=now())
+    target.apply_report(TargetReport(name, False, 0, 0.0), sent_at=now())
     target.in_flight = in_flight
     return target
 
@@ -68,7 +68,7 @@
 
     def test_reported_load_counts(self):
         busy = make_target("x")
-        busy.take_report(TargetReport("x", False, 8, 0.0), sent_at=now() + 0.1)
+        busy.apply_report(TargetReport("x", False, 8, 0.0), sent_at=now() + 0.1)
         self.assertEqual(set(self.choose([busy, make_target("y")], times=20)), {"y"})
 
     @params((2, "x"), (4, "y"))
@@ -118,7 +118,7 @@
     """What sets a target aside."""
 
     @params((False, 3, True), (True, 3, False), (False, 2, False))
-    def test_resting_after_failures(self, answered_meanwhile, failures, is_resting):
+    def test_resting_after_failures(self, answered_meanwhile, failures, is_backing_off):
         # Under overload calls run out of time at an engine that answers others all
         # the while; only one that answers nothing is set aside.
         target = make_target("x")
@@ -129,33 +129,33 @@
             if answered_meanwhile:
                 target.answered_at = now()
             target.fail(began, 0.0, timed_out=True)
-        self.assertEqual(target.is_resting(), is_resting)
+        self.assertEqual(target.is_backing_off(), is_backing_off)
 
     def test_one_probe_at_a_time(self):
         target = make_target("x")
         for _ in range(3):
             target.begin()
             target.fail(now(), 0.0, timed_out=False)
-        self.assertTrue(target.is_resting())
+        self.assertTrue(target.is_backing_off())
         advance(1.0)
-        self.assertFalse(target.is_resting())
+        self.assertFalse(target.is_backing_off())
         target.begin()
-        self.assertTrue(target.is_resting())
-        target.hear(0.1, 0.1)
+        self.assertTrue(target.is_backing_off())
+        target.record_first_byte(0.1, 0.1)
         target.finish()
-        self.assertFalse(target.is_resting())
+        self.assertFalse(target.is_backing_off())
 
     def test_far_slower_than_its_like_is_set_aside(self):
         target = make_target("x")
         target.begin()
-        target.hear(0.9, usual=0.1)
+        target.record_first_byte(0.9, usual=0.1)
         target.finish()
         self.assertTrue(target.is_slow())
         advance(1.1)
         self.assertFalse(target.is_slow())
         target.begin()
         self.assertTrue(target.is_slow())
-        target.hear(0.12, usual=0.1)
+        target.record_first_byte(0.12, usual=0.1)
         target.finish()
         self.assertFalse(target.is_slow())
 
@@ -164,11 +164,11 @@
         target.begin()
         began = now()
         advance(2.0)
-        target.take_report(TargetReport("x", False, 0, 0.5), sent_at=now())
+        target.apply_report(TargetReport("x", False, 0, 0.5), sent_at=now())
         target.fail(began, 0.0, timed_out=True)
         self.assertTrue(target.is_cold())
         advance(0.5)
-        target.take_report(TargetReport("x", False, 0, 0.0), sent_at=now())
+        target.apply_report(TargetReport("x", False, 0, 0.0), sent_at=now())
         self.assertFalse(target.is_cold())
 
 
@@ -346,10 +346,10 @@
         self.assertEqual(result.value.status, 200)
 
     def test_attempt_limit_leaves_time_for_another(self):
-        times = StageCosts()
+        times = StageLatencies()
         self.assertEqual(times.attempt_limit("p", "encode", 2.0), 1.0)
         for _ in range(50):
-            times.learn("p", "encode", 0.1)
+            times.record("p", "encode", 0.1)
         self.assertAlmostEqual(times.attempt_limit("p", "encode", 2.0), 0.5, delta=0.05)
         self.assertEqual(times.attempt_limit("p", "encode", 0.2), 0.2)
 
@@ -357,11 +357,11 @@
         for target in self.world.targets.values():
             target.seconds = 0.5
         results = [self.plan() for _ in range(60)]
-        self.assertGreater(self.daemon.pools.waiting(), 0)
+        self.assertGreater(self.daemon.pools.count_waiting(), 0)
         advance(5.0)
         ends = [result.value.status for result in results]
         self.assertGreater(ends.count(200), 45)
-        self.assertEqual(self.daemon.pools.waiting(), 0)
+        self.assertEqual(self.daemon.pools.count_waiting(), 0)
 
     def test_killed_waiter_leaks_no_place(self):
         # A hedge wins while the slow first attempt still waits, and in the same
@@ -376,7 +376,7 @@
         request = Request(self.daemon.views.declaration.teams["crews"], "plan", 4, 5)
         stage = Stage("encode", "", "/v1/stages/encode", b"{}")
         stages = self.daemon.callers._stages
-        wanted = stages.need(request, stage, frozenset())
+        wanted = stages.call_requirements(request, stage, frozenset())
         waiting = eventlet.spawn(pools.acquire, wanted)
         advance(0.01)
         pool = pools._pool(wanted)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -40,7 +40,7 @@
     def test_older_report_changes_nothing(self):
         target = self.daemon.targets.by_id["kind-00-a"]
         late = TargetReport(target.id, True, 9, 0.0)
-        target.take_report(late, sent_at=now() - 2.0)
+        target.apply_report(late, sent_at=now() - 2.0)
         self.assertFalse(target.is_cold())
 
     def test_answer_of_another_target_is_ignored(self):
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -223,7 +223,7 @@
         self.assertEqual(self.runs(), 1)
 
     def test_looking_changes_nothing(self):
-        look = run_green(lambda: self.other.tickets.look(self.ticket))
+        look = run_green(lambda: self.other.tickets.query_outcome(self.ticket))
         advance(2.0)
         self.assertEqual(look.value.state, "unused")
         self.assertEqual(self.ask(self.issuer).state, FINISHED)
@@ -235,7 +235,7 @@
         advance(3.0)
         query = OutcomeQuery(self.ticket)
         self.issuer.tickets._run_by_nonce.clear()
-        self.assertEqual(self.issuer.tickets.look_here(query).state, UNKNOWN)
+        self.assertEqual(self.issuer.tickets.handle_outcome_query(query).state, UNKNOWN)
 
     def test_full_table_is_no_final_refusal(self):
         # The issuer has no room for the ticket now. "Not run" would be final for its
@@ -253,13 +253,13 @@
         team = wrong if wrong == "crews-2" else "crews"
         kind = wrong if wrong == "stock" else "orders"
         with self.assertRaises(RequestError) as caught:
-            self.other.tickets.open(text, team, kind)
+            self.other.tickets.verify(text, team, kind)
         self.assertIs(caught.exception.kind, ErrorKind.TICKET_INVALID)
 
     @params("", "x", "AAAA", "Zm9yZ2VkIHRpY2tldCB0aGF0IGlzIGxvbmcgZW5vdWdo")
     def test_forged_ticket(self, text):
         with self.assertRaises(RequestError) as caught:
-            self.issuer.tickets.open(text, "crews", "orders")
+            self.issuer.tickets.verify(text, "crews", "orders")
         self.assertIs(caught.exception.kind, ErrorKind.TICKET_INVALID)
 
 
@@ -306,6 +306,6 @@
         self.assertEqual(self.runs(), 1)
 
     def test_outcome_of_a_sealed_ticket_stays(self):
-        sealed = self.witness.witness.give_up(self.ticket)
+        sealed = self.witness.witness.cancel_unstarted(self.ticket)
         self.witness.witness.record_outcome(OutcomeRecord(self.ticket, sealed))
-        self.assertEqual(self.witness.witness.look(self.ticket).state, NOT_RUN)
+        self.assertEqual(self.witness.witness.query_outcome(self.ticket).state, NOT_RUN)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -110,9 +110,9 @@
         self.world.zone_states["a"] = "in"
         self.world.publish(3)
         advance(1.0)
-        self.assertLess(self.daemon.targets.ramp("a"), 0.5)
+        self.assertLess(self.daemon.targets.ramp_fraction("a"), 0.5)
         advance(5.0)
-        self.assertEqual(self.daemon.targets.ramp("a"), 1.0)
+        self.assertEqual(self.daemon.targets.ramp_fraction("a"), 1.0)
 
     def test_returning_zone_gets_work_step_by_step(self):
         self.take_out("a")
