--- a/packages/daemon/bergamotsaddle_daemon/_response_body.py
+++ b/packages/daemon/bergamotsaddle_daemon/_response_body.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 
-class Once:
+class CallOnce:
     """Calls a function the first time only."""
 
     def __init__(self, function: Callable[[], None]) -> None:
--- a/packages/daemon/bergamotsaddle_daemon/callers.py
+++ b/packages/daemon/bergamotsaddle_daemon/callers.py
@@ -9,7 +9,7 @@
 from bergamotsaddle_contracts.errors import ErrorKind, RequestError
 from bergamotsaddle_contracts.ini import parse_duration
 from bergamotsaddle_contracts.messages import FINISHED, Outcome, ServiceRequest
-from bergamotsaddle_daemon._response_body import Once, ResponseBody
+from bergamotsaddle_daemon._response_body import CallOnce, ResponseBody
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import Costs
 from bergamotsaddle_daemon.http import (
@@ -17,7 +17,7 @@
     StartResponse,
     json_response,
     read_body,
-    start,
+    send_response_head,
 )
 from bergamotsaddle_daemon.pipelines import PipelineRun, parse_pipeline_body
 from bergamotsaddle_daemon.pools import Pools
@@ -100,7 +100,7 @@
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable:
         """Serve one HTTP request."""
         self.active += 1
-        ended = Once(self._end)
+        ended = CallOnce(self._end)
         try:
             answer = self._serve(environ, start_response)
         except RequestError as error:
@@ -207,7 +207,7 @@
             ("X-Request-Id", request.id),
             ("Cache-Control", "no-store"),
         ]
-        start(start_response, 200, headers, close=self.stopping)
+        send_response_head(start_response, 200, headers, close=self.stopping)
         return self._events(request, run, first, events)
 
     def _events(
@@ -261,7 +261,7 @@
             ("Content-Length", str(len(outcome.body))),
             ("X-Request-Id", request.id),
         ]
-        start(start_response, outcome.status, headers, close=self.stopping)
+        send_response_head(start_response, outcome.status, headers, close=self.stopping)
         return [outcome.body]
 
     def _run_ticket(
--- a/packages/daemon/bergamotsaddle_daemon/calls.py
+++ b/packages/daemon/bergamotsaddle_daemon/calls.py
@@ -34,7 +34,7 @@
         path: Path at the target.
         body: Body to post.
         deadline: When the attempt ends, on the hub's clock.
-        connect: Seconds for connecting.
+        connect_timeout: Seconds for connecting.
         priority: 1 before 9, for targets that honour it.
         headers: Further headers.
     """
@@ -44,7 +44,7 @@
     path: str
     body: bytes
     deadline: float
-    connect: float
+    connect_timeout: float
     priority: int
     headers: dict[str, str]
 
@@ -56,7 +56,7 @@
     body: bytes
 
 
-class CallStream:
+class ResponseStream:
     """A target's answer while it arrives.
 
     Args:
@@ -68,7 +68,7 @@
         self._connection = connection
         self._response = response
 
-    def read_some(self, silence: float) -> bytes:
+    def read_available(self, silence: float) -> bytes:
         """Read what has arrived, or wait for more.
 
         Args:
@@ -101,9 +101,9 @@
     def __init__(self) -> None:
         self._idle_by_address: dict[Address, list[HTTPConnection]] = {}
         self._attempts = itertools.count(1)
-        self.answers_discarded = 0
+        self.responses_discarded = 0
 
-    def next_attempt(self) -> int:
+    def next_attempt_number(self) -> int:
         """A number for the next attempt, unlike any other of this process."""
         return next(self._attempts)
 
@@ -136,7 +136,7 @@
         finally:
             connection.close()
 
-    def open_stream(self, address: Address, call: Call, guard: Guard) -> CallStream:
+    def open_stream(self, address: Address, call: Call, guard: Guard) -> ResponseStream:
         """Post and return as soon as the answer's headers are there.
 
         Raises:
@@ -152,9 +152,9 @@
         except BaseException:
             connection.close()
             raise
-        return CallStream(connection, response)
+        return ResponseStream(connection, response)
 
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """Close the kept connections to a target.
 
         If one of them has gone silent the others often have too, and each would
@@ -180,7 +180,7 @@
         idle.append(connection)
 
     def _connect(self, address: Address, call: Call) -> HTTPConnection:
-        limit = min(call.connect, call.deadline - now())
+        limit = min(call.connect_timeout, call.deadline - now())
         if limit <= 0:
             raise TargetError("no time left to connect", sent=False)
         connection = HTTPConnection(address.host, address.port, timeout=limit)
@@ -246,5 +246,5 @@
             response.headers.get(STAGE_HEADER),
         )
         if named != (call.request, call.stage):
-            self.answers_discarded += 1
+            self.responses_discarded += 1
             raise TargetError(f"answer names {named}", sent=True)
--- a/packages/daemon/bergamotsaddle_daemon/daemon.py
+++ b/packages/daemon/bergamotsaddle_daemon/daemon.py
@@ -127,7 +127,7 @@
             self.decisions,
             interfaces.connections,
         )
-        self.peers.own_reports = self.reports.reports
+        self.peers.own_reports = self.reports.heartbeat_reports
         self.operators = OperatorApp(self)
         self._was_ready = False
         self.threads: list[GreenThread] = []
@@ -219,7 +219,7 @@
         timing = self.settings.timing
         self.peers.stopping = True
         self.callers.stopping = True
-        self.peers.tell_neighbours()
+        self.peers.notify_neighbours()
         self._hand_over_permits()
         eventlet.sleep(timing.stop_notice)
         close_listener()
--- a/packages/daemon/bergamotsaddle_daemon/datagrams.py
+++ b/packages/daemon/bergamotsaddle_daemon/datagrams.py
@@ -30,7 +30,7 @@
             # The network refuses at once what it would otherwise lose.
             return
 
-    def receive_for_ever(self, peers: Peers) -> None:
+    def receive_forever(self, peers: Peers) -> None:
         """Hand over every datagram that an instance of this deployment made."""
         while True:
             try:
--- a/packages/daemon/bergamotsaddle_daemon/homes.py
+++ b/packages/daemon/bergamotsaddle_daemon/homes.py
@@ -31,7 +31,7 @@
         self.by_target: dict[str, str] = {}
         self.home_since: dict[str, float] = {}
         self.followed: frozenset[str] = frozenset()
-        views.watch(self.refresh)
+        views.subscribe(self.refresh)
 
     def refresh(self) -> None:
         """Follow the instance list and the declared targets."""
--- a/packages/daemon/bergamotsaddle_daemon/http.py
+++ b/packages/daemon/bergamotsaddle_daemon/http.py
@@ -15,7 +15,7 @@
 Headers = list[tuple[str, str]]
 
 
-def start(
+def send_response_head(
     start_response: StartResponse, status: int, headers: Headers, *, close: bool
 ) -> None:
     """Send status and headers; ``close`` asks the client for a new connection."""
@@ -43,7 +43,7 @@
         ("Content-Length", str(len(body))),
         *(headers or []),
     ]
-    start(start_response, status, content, close=close)
+    send_response_head(start_response, status, content, close=close)
     return [body]
 
 
--- a/packages/daemon/bergamotsaddle_daemon/operators.py
+++ b/packages/daemon/bergamotsaddle_daemon/operators.py
@@ -6,7 +6,12 @@
 import prometheus_client as prometheus
 
 from bergamotsaddle_daemon.clock import now
-from bergamotsaddle_daemon.http import Environ, StartResponse, json_response, start
+from bergamotsaddle_daemon.http import (
+    Environ,
+    StartResponse,
+    json_response,
+    send_response_head,
+)
 from bergamotsaddle_daemon.registry import Registry
 
 if TYPE_CHECKING:
@@ -28,19 +33,19 @@
         "stopping": peers.stopping,
         "revision": views.declaration.revision,
         "digest": views.declaration.digest,
-        "in_force_for": _round(now() - views.taken_at),
+        "in_force_for": _round(now() - views.applied_at),
         "confirmed_age": _round(now() - views.confirmed_at),
         "stale": views.is_stale(),
         "service_revision": views.service_revision,
         "service_error": daemon.platform.config_error,
-        "refused": [str(fault) for fault in views.refused],
-        "race": views.race,
+        "refused": [str(fault) for fault in views.rejected_faults],
+        "race": views.revision_conflict,
         "list_version": views.instances.version,
         "list_age": _round(views.list_age()),
         "list_error": daemon.platform.instances_error,
         "requests": daemon.callers.active,
         "waiting": daemon.pools.count_waiting(),
-        "answers_discarded": daemon.connections.answers_discarded,
+        "answers_discarded": daemon.connections.responses_discarded,
         "tickets_running": daemon.tickets.count_unsettled(),
         "peers": [
             {
@@ -136,7 +141,7 @@
             case ["metrics"]:
                 body = prometheus.generate_latest(self._daemon.metrics)
                 headers = [("Content-Type", prometheus.CONTENT_TYPE_LATEST)]
-                start(start_response, 200, headers, close=True)
+                send_response_head(start_response, 200, headers, close=True)
                 return [body]
             case ["ready"]:
                 status = 200 if self._daemon.is_ready() else 503
--- a/packages/daemon/bergamotsaddle_daemon/peers.py
+++ b/packages/daemon/bergamotsaddle_daemon/peers.py
@@ -46,7 +46,7 @@
     def __init__(self, instance: Instance, link: Link) -> None:
         self.instance = instance
         self.link = link
-        self.heard_at = float("-inf")
+        self.last_seen_at = float("-inf")
         self.incarnation = ""
         self.clock = 0.0
         self.revision = 0
@@ -54,9 +54,9 @@
         self.stopping = False
         self.follows = False
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take a heartbeat into account."""
-        self.heard_at = now()
+        self.last_seen_at = now()
         self.incarnation = heartbeat.incarnation
         self.clock = heartbeat.clock
         self.revision = heartbeat.revision
@@ -107,7 +107,7 @@
         self.followers: dict[str, Peer] = {}
         self.stopping = False
         self.own_reports: Callable[[], tuple[TargetReport, ...]] = tuple
-        views.watch(self.refresh)
+        views.subscribe(self.refresh)
 
     def refresh(self) -> None:
         """Follow the instance list, then tell the neighbours of the change."""
@@ -126,9 +126,9 @@
                 link = self._link_factory(entry.peer_address)
                 self.by_id[entry.id] = Peer(entry, link)
         self._choose_neighbours()
-        self.tell_neighbours()
+        self.notify_neighbours()
 
-    def tell_neighbours(self) -> None:
+    def notify_neighbours(self) -> None:
         """Send heartbeats at once, as after a change."""
         changed, self._changed = self._changed, Event()
         changed.send()
@@ -138,7 +138,7 @@
         peer = self.by_id.get(peer_id)
         if peer is None:
             return False
-        return now() - peer.heard_at <= self._settings.timing.peer_silence
+        return now() - peer.last_seen_at <= self._settings.timing.peer_silence
 
     def is_caught_up(self) -> bool:
         """Tell whether this instance has asked its peers what is in force.
@@ -186,12 +186,12 @@
             return None
         return max(choices, key=lambda peer: rendezvous_weight(peer.instance.id, nonce))
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take a peer's heartbeat into account and fetch what it has newer."""
         peer = self.by_id.get(heartbeat.sender)
         if peer is None:
             return
-        peer.hear(heartbeat)
+        peer.apply_heartbeat(heartbeat)
         self._note_follower(peer)
         if heartbeat.echo_incarnation == self._incarnation:
             self._hear_echo(heartbeat)
@@ -297,7 +297,7 @@
             clock=now(),
             echo=peer.clock,
             echo_incarnation=peer.incarnation,
-            asked_age=now() - self._views.asked_at,
+            asked_age=now() - self._views.platform_queried_at,
             revision=declaration.revision,
             digest=declaration.digest,
             list_version=self._views.instances.version,
--- a/packages/daemon/bergamotsaddle_daemon/pipelines.py
+++ b/packages/daemon/bergamotsaddle_daemon/pipelines.py
@@ -10,7 +10,7 @@
 from bergamotsaddle_daemon.pools import Pools
 from bergamotsaddle_daemon.request import Request
 from bergamotsaddle_daemon.stages import Stage, StageCaller
-from bergamotsaddle_daemon.streams import Generation, StreamRelay, TokenStream
+from bergamotsaddle_daemon.streams import GenerationParams, StreamRelay, TokenStream
 
 _STAGE_PATH = "/v1/stages/"
 _COMPLETIONS_PATH = "/v1/completions"
@@ -121,7 +121,7 @@
 
     def _generate(self, stage: Stage, previous: Any) -> Iterator[bytes]:
         prompt = self._prompt(previous)
-        generation = Generation(stage.model, prompt, self._body.max_tokens)
+        generation = GenerationParams(stage.model, prompt, self._body.max_tokens)
         stream = TokenStream(self.request, generation)
         self.tokens = stream.tokens
         prefix = prompt[:_PREFIX_CHARACTERS]
--- a/packages/daemon/bergamotsaddle_daemon/placement.py
+++ b/packages/daemon/bergamotsaddle_daemon/placement.py
@@ -233,7 +233,7 @@
                 raise PlaceLostError("not this target's home any more")
 
         body = msgspec.json.encode(OrderBody(*order, self._fencing()))
-        attempt = f"{order.action}.{self._connections.next_attempt()}"
+        attempt = f"{order.action}.{self._connections.next_attempt_number()}"
         call = Call(
             "order",
             attempt,
--- a/packages/daemon/bergamotsaddle_daemon/platform.py
+++ b/packages/daemon/bergamotsaddle_daemon/platform.py
@@ -20,7 +20,7 @@
 _OK = 200
 
 
-class Value(NamedTuple):
+class PublishedValue(NamedTuple):
     """A published value and the tag that names this version of it."""
 
     tag: str
@@ -30,7 +30,7 @@
 class PlatformReader(Protocol):
     """Reads one published value."""
 
-    def read(self, tag: str, wait: float) -> Value | None:
+    def read(self, tag: str, wait: float) -> PublishedValue | None:
         """Read the value once it differs from a tag.
 
         Args:
@@ -59,7 +59,7 @@
             address.host, address.port, maxsize=1, retries=False
         )
 
-    def read(self, tag: str, wait: float) -> Value | None:
+    def read(self, tag: str, wait: float) -> PublishedValue | None:
         """Read the value once it differs from a tag."""
         fields = {"after": tag, "wait": f"{wait:.3f}"}
         # A watch whose connection was dropped in between would wait for ever and
@@ -76,7 +76,7 @@
             return None
         if answer.status != _OK:
             raise PlatformUnreachableError(f"status {answer.status}")
-        return Value(answer.headers.get("ETag", ""), answer.data)
+        return PublishedValue(answer.headers.get("ETag", ""), answer.data)
 
 
 def make_config_reader(settings: Settings) -> HttpReader:
@@ -123,7 +123,7 @@
                 value = self._config.read(tag, self._timing.watch_wait)
             except PlatformUnreachableError as error:
                 self.config_error = str(error)
-                self._views.asked_at = asked_at
+                self._views.platform_queried_at = asked_at
                 eventlet.sleep(_BACKOFF)
                 continue
             self.config_error = ""
@@ -131,7 +131,7 @@
                 tag = value.tag
                 text = value.payload.decode(errors="replace")
                 self._views.offer_declaration(text, source="service")
-            self._views.asked_at = asked_at
+            self._views.platform_queried_at = asked_at
             self._views.confirm(asked_at)
             eventlet.sleep(self._timing.watch_pause)
 
--- a/packages/daemon/bergamotsaddle_daemon/pools.py
+++ b/packages/daemon/bergamotsaddle_daemon/pools.py
@@ -197,7 +197,7 @@
         Raises:
             RequestError: If no target may get the call or its wait would be too long.
         """
-        self._views.wait_fresh(min(_FRESH_WAIT, max(0.0, need.slack)))
+        self._views.wait_until_fresh(min(_FRESH_WAIT, max(0.0, need.slack)))
         pool = self._pool(need)
         if not len(pool.queue):
             slot = self._try_warm(need) or self._try_cold(need)
--- a/packages/daemon/bergamotsaddle_daemon/reports.py
+++ b/packages/daemon/bergamotsaddle_daemon/reports.py
@@ -76,7 +76,7 @@
         self._targets = targets
         self._read_load = read_load
 
-    def reports(self) -> tuple[TargetReport, ...]:
+    def heartbeat_reports(self) -> tuple[TargetReport, ...]:
         """Fresh reports of the home targets, for heartbeats.
 
         Some at a time if there are many: a datagram that the network has to split
--- a/packages/daemon/bergamotsaddle_daemon/server.py
+++ b/packages/daemon/bergamotsaddle_daemon/server.py
@@ -55,7 +55,7 @@
             signal.signal(number, self._ask_to_stop)
         self.daemon.spawn()
         self._peer_server.start(self.daemon.handlers())
-        eventlet.spawn_n(self._datagrams.receive_for_ever, self.daemon.peers)
+        eventlet.spawn_n(self._datagrams.receive_forever, self.daemon.peers)
         self._serve_http()
         self._logger.info(
             "listening",
--- a/packages/daemon/bergamotsaddle_daemon/stages.py
+++ b/packages/daemon/bergamotsaddle_daemon/stages.py
@@ -166,11 +166,11 @@
         seconds = slot.limit_time(min(limit, request.remaining))
         return Call(
             request=request.id,
-            stage=f"{stage.kind}.{self._connections.next_attempt()}",
+            stage=f"{stage.kind}.{self._connections.next_attempt_number()}",
             path=stage.path,
             body=stage.body,
             deadline=now() + seconds,
-            connect=self._settings.timing.connect,
+            connect_timeout=self._settings.timing.connect,
             priority=request.priority,
             headers={},
         )
@@ -267,7 +267,7 @@
                 raise TargetError(f"status {reply.status}", sent=True)
         except TargetError as error:
             slot.fail(error)
-            self._connections.forget(address)
+            self._connections.close_idle(address)
             raise
         except BaseException:
             slot.abandon()
--- a/packages/daemon/bergamotsaddle_daemon/streams.py
+++ b/packages/daemon/bergamotsaddle_daemon/streams.py
@@ -11,7 +11,7 @@
     RequestError,
     TargetError,
 )
-from bergamotsaddle_daemon.calls import CallStream, Connections
+from bergamotsaddle_daemon.calls import Connections, ResponseStream
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import FIRST, RESUME, RETRY, Costs
 from bergamotsaddle_daemon.pools import Slot
@@ -42,7 +42,7 @@
     done: bool = False
 
 
-class Generation(NamedTuple):
+class GenerationParams(NamedTuple):
     """What to generate.
 
     Attributes:
@@ -89,13 +89,13 @@
         generation: What to generate.
     """
 
-    def __init__(self, request: Request, generation: Generation) -> None:
+    def __init__(self, request: Request, generation: GenerationParams) -> None:
         self.request = request
         self.generation = generation
         self.tokens: list[str] = []
         self.is_done = False
 
-    def body(self) -> bytes:
+    def encode_request(self) -> bytes:
         """What to ask an engine, given the tokens there are."""
         return msgspec.json.encode(
             EngineBody(
@@ -109,7 +109,7 @@
             )
         )
 
-    def take(self, payload: bytes) -> bool:
+    def apply_event(self, payload: bytes) -> bool:
         """Take one event's data into account.
 
         A resumed stream may begin earlier than asked, and one that was crossed
@@ -197,9 +197,9 @@
             request.mark_sent()
             self._costs.count_call(key, what)
 
-        engine: CallStream | None = None
+        engine: ResponseStream | None = None
         try:
-            fresh = stage._replace(body=stream.body())
+            fresh = stage._replace(body=stream.encode_request())
             call = self._stages.make_call(request, fresh, slot, request.remaining)
             address = slot.target.declared.address
             engine = self._connections.open_stream(address, call, guard)
@@ -221,14 +221,14 @@
             self._costs.count_tokens(key, len(stream.tokens) - before)
 
     def _events(
-        self, stream: TokenStream, slot: Slot, engine: CallStream, deadline: float
+        self, stream: TokenStream, slot: Slot, engine: ResponseStream, deadline: float
     ) -> Iterator[bytes]:
         rest = b""
         # Before its first token a stream can begin anew elsewhere at no cost to the
         # caller, so a slow engine is given up sooner then.
         silence = min(self._silence, slot.first_byte_timeout())
         while not stream.is_done:
-            data = engine.read_some(min(silence, deadline - now()))
+            data = engine.read_available(min(silence, deadline - now()))
             if not data:
                 raise TargetError("stream ended early", sent=True)
             *events, rest = (rest + data).split(_EVENT_END)
@@ -238,7 +238,7 @@
                 event + _EVENT_END
                 for event in events
                 if not event.startswith(_COMMENT)
-                and stream.take(event.removeprefix(_DATA))
+                and stream.apply_event(event.removeprefix(_DATA))
             ]
             if fresh:
                 slot.record_response_data()
--- a/packages/daemon/bergamotsaddle_daemon/targets.py
+++ b/packages/daemon/bergamotsaddle_daemon/targets.py
@@ -224,7 +224,7 @@
         self.by_kind: dict[str, list[Target]] = {}
         self._returned_at_by_zone: dict[str, float] = {}
         self._out_zones: set[str] = set()
-        views.watch(self.refresh)
+        views.subscribe(self.refresh)
 
     def refresh(self) -> None:
         """Follow the declaration: add, change and forget targets."""
--- a/packages/daemon/bergamotsaddle_daemon/views.py
+++ b/packages/daemon/bergamotsaddle_daemon/views.py
@@ -28,18 +28,18 @@
         self._decisions = decisions
         self.declaration = EMPTY_DECLARATION
         self.instances: InstanceList = EMPTY_LIST
-        self.taken_at = _NEVER
-        self.refused: list[Fault] = []
-        self.race: str = ""
+        self.applied_at = _NEVER
+        self.rejected_faults: list[Fault] = []
+        self.revision_conflict: str = ""
         self.service_revision = 0
         self.list_read_at = _NEVER
         self.confirmed_at = _NEVER
-        self.asked_at = _NEVER
+        self.platform_queried_at = _NEVER
         self._waited_in_vain_at = _NEVER
         self._watchers: list[Callable[[], None]] = []
         self._confirmed = Event()
 
-    def watch(self, callback: Callable[[], None]) -> None:
+    def subscribe(self, callback: Callable[[], None]) -> None:
         """Have a function called after each change of either view."""
         self._watchers.append(callback)
 
@@ -68,16 +68,18 @@
         if offered.version == current.version:
             return True
         if offered.revision == current.revision:
-            self.race = f"revision {offered.revision} was published with two contents"
+            self.revision_conflict = (
+                f"revision {offered.revision} was published with two contents"
+            )
         if offered.version < current.version:
             reason = f"older than revision {current.revision} from {source}"
             self._decisions.record("", "declaration", "", reason)
             return False
         self.declaration = offered
         if offered.revision > current.revision:
-            self.race = ""
-        self.refused = []
-        self.taken_at = now()
+            self.revision_conflict = ""
+        self.rejected_faults = []
+        self.applied_at = now()
         choice = f"{offered.revision} {offered.digest[:8]}"
         self._decisions.record("", "declaration", choice, f"newest, from {source}")
         self._tell()
@@ -111,7 +113,7 @@
         """
         return now() - self.confirmed_at > self._settings.timing.view_limit
 
-    def wait_fresh(self, limit: float) -> bool:
+    def wait_until_fresh(self, limit: float) -> bool:
         """Wait until the views are confirmed, or for a limit in seconds.
 
         An instance that is cut off from everybody would otherwise wait in each call
@@ -132,7 +134,7 @@
         return now() - self.list_read_at
 
     def _refuse(self, faults: list[Fault], source: str) -> None:
-        self.refused = faults
+        self.rejected_faults = faults
         reason = f"{len(faults)} faults, first: {faults[0]}"
         self._decisions.record("", "declaration", "", f"from {source}: {reason}")
 
--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -21,7 +21,7 @@
 from bergamotsaddle_daemon.calls import Call, Connections, Guard, Reply
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.daemon import Daemon, Interfaces
-from bergamotsaddle_daemon.platform import Value
+from bergamotsaddle_daemon.platform import PublishedValue
 from bergamotsaddle_daemon.settings import parse_settings
 from tests._paused import advance, settle
 
@@ -53,7 +53,7 @@
         self._platform = platform
         self._name = name
 
-    def read(self, tag: str, wait: float) -> Value | None:
+    def read(self, tag: str, wait: float) -> PublishedValue | None:
         """Read the value."""
         platform = self._platform
         eventlet.sleep(0)
@@ -62,7 +62,11 @@
         payload = platform.payload_by_reader.get(self._name, platform.payload)
         if not payload:
             return None
-        return None if tag == str(hash(payload)) else Value(str(hash(payload)), payload)
+        return (
+            None
+            if tag == str(hash(payload))
+            else PublishedValue(str(hash(payload)), payload)
+        )
 
 
 class FakeNetwork:
@@ -139,7 +143,7 @@
             network.held_datagrams.append((heartbeat, address))
             return
         if network.reaches(self._sender, address):
-            network.daemon_by_address[address].peers.hear(heartbeat)
+            network.daemon_by_address[address].peers.handle_heartbeat(heartbeat)
 
 
 class FakeTarget:
@@ -215,7 +219,7 @@
         self._chunks = list(chunks)
         self.closed = False
 
-    def read_some(self, silence: float) -> bytes:
+    def read_available(self, silence: float) -> bytes:
         """Read the next chunk; none are left at the end."""
         if not self._chunks:
             return b""
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -86,7 +86,7 @@
         self.accepted[0].sendall(answer(call, request=request, stage=stage))
         settle()
         self.assertIsInstance(result.error, TargetError)
-        self.assertEqual(self.connections.answers_discarded, 1)
+        self.assertEqual(self.connections.responses_discarded, 1)
 
     def test_late_answer_meets_no_later_request(self):
         # The target answers after the time limit, just when the next request goes
@@ -175,8 +175,8 @@
         self.accepted[0].sendall(head + BODY[:3])
         settle()
         stream = result.value
-        self.assertEqual(run_green(lambda: stream.read_some(1.0)).value, BODY[:3])
-        reading = run_green(lambda: stream.read_some(1.0))
+        self.assertEqual(run_green(lambda: stream.read_available(1.0)).value, BODY[:3])
+        reading = run_green(lambda: stream.read_available(1.0))
         advance(0.9)
         self.assertFalse(reading.done)
         advance(0.2)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -22,7 +22,7 @@
 from bergamotsaddle_daemon.settings import parse_settings
 from bergamotsaddle_daemon.stage_latencies import StageLatencies
 from bergamotsaddle_daemon.stages import Stage
-from bergamotsaddle_daemon.streams import Generation, TokenStream
+from bergamotsaddle_daemon.streams import GenerationParams, TokenStream
 from bergamotsaddle_daemon.targets import Target
 from tests._fakes import FakeFleet, run_green
 from tests._http import ask
@@ -394,7 +394,7 @@
         while budget.take("crews", "generate"):
             continue
         request = Request(self.daemon.views.declaration.teams["crews"], "plan", 4, 5)
-        stream = TokenStream(request, Generation("m", "p", 1))
+        stream = TokenStream(request, GenerationParams("m", "p", 1))
         stage = Stage("generate", "m", "/v1/completions", b"")
         for _ in range(20):
             run_green(lambda: list(self.daemon.callers._relay.run(stream, stage)))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -23,12 +23,14 @@
     def test_all_are_told_in_turn(self):
         told = set()
         for _ in range(4):
-            told |= {report.target_id for report in self.daemon.reports.reports()}
+            told |= {
+                report.target_id for report in self.daemon.reports.heartbeat_reports()
+            }
             advance(self.daemon.settings.timing.heartbeat)
         self.assertEqual(len(told), 45)
 
     def test_a_heartbeat_fits_one_packet(self):
-        reports = self.daemon.reports.reports()
+        reports = self.daemon.reports.heartbeat_reports()
         self.assertEqual(len(reports), 40)
         beat = self.daemon.peers._heartbeat(self.daemon.peers.by_id["b1"])
         self.assertLess(len(seal(beat._replace(reports=reports), KEY)), MTU)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -8,7 +8,7 @@
 from bergamotsaddle_contracts.declaration import Team
 from bergamotsaddle_contracts.errors import TargetError
 from bergamotsaddle_daemon.request import Request
-from bergamotsaddle_daemon.streams import Generation, TokenStream
+from bergamotsaddle_daemon.streams import GenerationParams, TokenStream
 from tests._fakes import FakeFleet, run_green
 from tests._http import ask
 from tests._paused import advance
@@ -43,12 +43,12 @@
 
     def setUp(self):
         self.request = Request(Team("crews", 1, 5, ()), "plan", 4.0, 5)
-        self.stream = TokenStream(self.request, Generation("m", "p", 10))
+        self.stream = TokenStream(self.request, GenerationParams("m", "p", 10))
         self.stream.tokens += ["a", "b"]
 
     @params((2, True), (1, False), (0, False))
     def test_only_the_next_token_is_new(self, index, is_new):
-        taken = self.stream.take(event(self.request.id, index, "x")[6:])
+        taken = self.stream.apply_event(event(self.request.id, index, "x")[6:])
         self.assertEqual(taken, is_new)
         self.assertEqual(len(self.stream.tokens), 2 + is_new)
 
@@ -61,10 +61,10 @@
             "early end": event(self.request.id, 5, done=True),
         }[wrong]
         with self.assertRaises(TargetError):
-            self.stream.take(payload[6:])
+            self.stream.apply_event(payload[6:])
 
     def test_end_of_an_older_stream_is_not_the_end(self):
-        self.stream.take(event(self.request.id, 1, done=True)[6:])
+        self.stream.apply_event(event(self.request.id, 1, done=True)[6:])
         self.assertFalse(self.stream.is_done)
 
 
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -63,11 +63,15 @@
         digests = {d.views.declaration.digest for d in self.world.daemons.values()}
         expected = max(digest_text(text.decode()) for text in (one, two))
         self.assertEqual(digests, {expected})
-        self.assertTrue(any(d.views.race for d in self.world.daemons.values()))
+        self.assertTrue(
+            any(d.views.revision_conflict for d in self.world.daemons.values())
+        )
         self.world.config.payload_by_reader = {}
         self.world.publish(3)
         advance(2.0)
-        self.assertFalse(any(d.views.race for d in self.world.daemons.values()))
+        self.assertFalse(
+            any(d.views.revision_conflict for d in self.world.daemons.values())
+        )
 
     def test_bad_declaration_is_refused_whole(self):
         self.world.config.payload = self.world.declaration(
@@ -75,12 +79,14 @@
         ).encode()
         advance(2.0)
         self.assertEqual(self.world.revisions(), [1, 1, 1])
-        refused = self.world.daemons["a1"].views.refused
-        self.assertEqual([fault.key for fault in refused], ["share", "key_digests"])
+        rejected_faults = self.world.daemons["a1"].views.rejected_faults
+        self.assertEqual(
+            [fault.key for fault in rejected_faults], ["share", "key_digests"]
+        )
         self.world.publish(3)
         advance(1.0)
         self.assertEqual(self.world.revisions(), [3, 3, 3])
-        self.assertEqual(self.world.daemons["a1"].views.refused, [])
+        self.assertEqual(self.world.daemons["a1"].views.rejected_faults, [])
 
     def test_cut_off_and_returning(self):
         # An instance is cut off from everybody while a change is made. On its
@@ -194,7 +200,7 @@
             (),
         )
         freeze(30.0)
-        self.daemon.peers.hear(waiting)
+        self.daemon.peers.handle_heartbeat(waiting)
         self.assertTrue(self.daemon.views.is_stale())
 
     def test_peer_that_has_just_woken_up_vouches_for_nothing(self):
@@ -205,7 +211,7 @@
         peer = self.daemon.peers.by_id["b1"]
         freeze(30.0)
         fresh = self.daemon.peers._heartbeat(peer)
-        self.daemon.peers.hear(
+        self.daemon.peers.handle_heartbeat(
             fresh._replace(
                 sender="b1",
                 echo=fresh.clock,
@@ -221,13 +227,13 @@
         self.world.config.down = True
         self.world.network.separate(["a1"], ["b1", "c1"])
         advance(10.0)
-        self.daemon.peers.hear(
+        self.daemon.peers.handle_heartbeat(
             Heartbeat("b1", "x", 1.0, 9e9, "earlier", 0.0, 1, "", 1, False, True, ())
         )
         self.assertTrue(self.daemon.views.is_stale())
 
     def test_heartbeat_of_a_stranger_is_ignored(self):
-        self.daemon.peers.hear(
+        self.daemon.peers.handle_heartbeat(
             Heartbeat("zz", "x", 1.0, 0.0, "", 0.0, 99, "f" * 32, 99, False, True, ())
         )
         advance(1.0)
@@ -235,7 +241,7 @@
 
     def test_waits_for_a_fresh_view_after_a_pause(self):
         freeze(30.0)
-        result = run_green(lambda: self.daemon.views.wait_fresh(2.0))
+        result = run_green(lambda: self.daemon.views.wait_until_fresh(2.0))
         advance(1.0)
         self.assertTrue(result.value)
 
@@ -245,18 +251,18 @@
         self.world.config.down = True
         self.world.network.separate(["a1"], ["b1", "c1"])
         advance(8.0)
-        first = run_green(lambda: self.daemon.views.wait_fresh(0.5))
+        first = run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         self.assertFalse(first.done)
         advance(0.6)
-        second = run_green(lambda: self.daemon.views.wait_fresh(0.5))
+        second = run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         self.assertTrue(second.done)
 
     def test_waits_again_after_a_pause(self):
         self.world.config.down = True
         self.world.network.separate(["a1"], ["b1", "c1"])
         advance(8.0)
-        run_green(lambda: self.daemon.views.wait_fresh(0.5))
+        run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         advance(0.6)
         freeze(30.0)
-        again = run_green(lambda: self.daemon.views.wait_fresh(0.5))
+        again = run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         self.assertFalse(again.done)
