--- a/packages/daemon/bergamotsaddle_daemon/_rendezvous.py
+++ b/packages/daemon/bergamotsaddle_daemon/_rendezvous.py
@@ -1,16 +1,16 @@
-"""Rendezvous hashing: who is chosen changes little when candidates come or go."""
+"""Rendezvous hashing, in which few choices change when a candidate comes or goes."""
 
 import hashlib
 from functools import lru_cache
 
 _WEIGHT_BYTES = 8
-# Weights are remembered: each request asks for those of every engine and instance, and
-# the same subjects and services come again and again.
-_KEPT_WEIGHTS = 16_384
+# Each request needs the weights of every engine and instance, and the same keys occur
+# again and again.
+_MAX_CACHED_WEIGHTS = 16_384
 
 
-@lru_cache(maxsize=_KEPT_WEIGHTS)
+@lru_cache(maxsize=_MAX_CACHED_WEIGHTS)
 def rendezvous_weight(candidate: str, key: str) -> bytes:
-    """Weight of a candidate for a key; the highest one is chosen."""
+    """Return a candidate's weight for a key; the highest weight is chosen."""
     text = f"{candidate} {key}".encode()
     return hashlib.blake2b(text, digest_size=_WEIGHT_BYTES).digest()
--- a/packages/daemon/bergamotsaddle_daemon/admission.py
+++ b/packages/daemon/bergamotsaddle_daemon/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a call may wait for a place, and for how long."""
+"""Policies that decide whether a call may wait for a slot, and for how long."""
 
 from typing import NamedTuple
 
@@ -8,25 +8,26 @@
 from bergamotsaddle_daemon.registry import ADMISSION_POLICIES
 
 _MIN_RETRY_AFTER = 0.1
-# Waiting for as long as the deadline just allows would make every request that is
-# served under overload a close call; the rest of the slack absorbs what varies. A
-# team that has nothing else waiting is not the cause of the overload and may use all.
-_WAIT_SHARE = 0.6
+# Under overload, calls that waited until the last possible moment would all finish
+# close to their deadlines and miss them at the slightest delay, so part of the slack
+# is kept in reserve. A team with no other waiting call does not cause the overload and
+# may use all of its slack.
+_MAX_SLACK_FRACTION = 0.6
 
 
-class Need(NamedTuple):
-    """What a call needs.
+class CallRequirements(NamedTuple):
+    """What a call needs of a target, and how much time it has.
 
     Attributes:
         request: Id of the request.
         team: Team of the caller.
         kind: Kind of target.
-        model: Model the target must serve, or an empty string.
-        prefix: Start of the prompt, for cache affinity.
+        model: Model the target must serve, or an empty string for any target.
+        prefix: Start of the prompt, for prefix cache affinity.
         deadline: When the request must be answered, on the hub's clock.
-        ahead: Expected seconds of this call and all later ones.
-        ran: What holds of the request so far.
-        exclude: Targets that already failed this call.
+        expected_seconds: Expected duration of this call and all later ones.
+        ran: Whether any part of the request has reached a target so far.
+        exclude: Ids of the targets that already failed this call.
     """
 
     request: str
@@ -35,57 +36,67 @@
     model: str
     prefix: str
     deadline: float
-    ahead: float
+    expected_seconds: float
     ran: Ran
     exclude: frozenset[str] = frozenset()
 
     @property
     def slack(self) -> float:
-        """Seconds the call can wait and still make the deadline."""
-        return self.deadline - self.ahead - now()
+        """Seconds that the call can wait and still meet its deadline."""
+        return self.deadline - self.expected_seconds - now()
 
 
 @ADMISSION_POLICIES.register("none")
 class AdmitAll:
-    """Every request waits until its deadline; the baseline."""
+    """Admits every call and lets it wait until its deadline; the baseline policy."""
 
-    def check(self, need: Need, wait: float, *, is_first: bool) -> None:
-        """Admit."""
+    def check(
+        self, requirements: CallRequirements, wait: float, *, is_first: bool
+    ) -> None:
+        """Admit the call."""
 
-    def give_up_at(self, need: Need, *, is_first: bool) -> float:
-        """When a waiting call is refused."""
-        return need.deadline
+    def queue_deadline(
+        self, requirements: CallRequirements, *, is_first: bool
+    ) -> float:
+        """Return the time at which a call that still waits is rejected."""
+        return requirements.deadline
 
 
 @ADMISSION_POLICIES.register("feasible")
 class AdmitFeasible:
-    """Only requests that can be expected to make their deadline."""
+    """Admits only calls that are expected to meet their deadlines."""
 
-    def check(self, need: Need, wait: float, *, is_first: bool) -> None:
-        """Refuse a call that would wait too long.
+    def check(
+        self, requirements: CallRequirements, wait: float, *, is_first: bool
+    ) -> None:
+        """Reject a call that would wait too long.
 
         Args:
-            need: What the call needs.
-            wait: Seconds that it is expected to wait.
-            is_first: Whether no other call of its team waits.
+            requirements: What the call needs.
+            wait: Seconds that the call is expected to wait.
+            is_first: Whether no other call of its team is waiting.
 
         Raises:
-            RequestError: With the seconds until the wait is expected to be short.
+            RequestError: If the call is rejected. Its ``retry_after`` is the time
+                until the expected wait is short enough.
         """
-        if wait <= _wait_share(is_first) * need.slack:
+        if wait <= _usable_slack_fraction(is_first) * requirements.slack:
             return
         raise RequestError(
             ErrorKind.DEADLINE_INFEASIBLE,
-            f"{need.kind} is expected to take {wait + need.ahead:.2f} s,"
-            f" {need.deadline - now():.2f} s are left",
-            ran=need.ran,
-            retry_after=max(_MIN_RETRY_AFTER, wait - max(0.0, need.slack)),
+            f"{requirements.kind} is expected to take"
+            f" {wait + requirements.expected_seconds:.2f} s,"
+            f" {requirements.deadline - now():.2f} s are left",
+            ran=requirements.ran,
+            retry_after=max(_MIN_RETRY_AFTER, wait - max(0.0, requirements.slack)),
         )
 
-    def give_up_at(self, need: Need, *, is_first: bool) -> float:
-        """When a waiting call is refused."""
-        return now() + _wait_share(is_first) * need.slack
+    def queue_deadline(
+        self, requirements: CallRequirements, *, is_first: bool
+    ) -> float:
+        """Return the time at which a call that still waits is rejected."""
+        return now() + _usable_slack_fraction(is_first) * requirements.slack
 
 
-def _wait_share(is_first: bool) -> float:
-    return 1.0 if is_first else _WAIT_SHARE
+def _usable_slack_fraction(is_first: bool) -> float:
+    return 1.0 if is_first else _MAX_SLACK_FRACTION
--- a/packages/daemon/bergamotsaddle_daemon/costs.py
+++ b/packages/daemon/bergamotsaddle_daemon/costs.py
@@ -1,4 +1,4 @@
-"""What requests cost, by team, pipeline and stage."""
+"""Accounting of calls, tokens and target time by team, pipeline and stage."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class CostKey(NamedTuple):
-    """Whose cost at which stage."""
+    """The team, pipeline or service, and stage that a cost is counted for."""
 
     team: str
     pipeline: str
@@ -26,10 +26,10 @@
         team: The team.
         pipeline: The pipeline or service.
         stage: The stage.
-        calls: First calls.
-        extra_calls: Retries, hedges and resumed streams.
-        tokens: Tokens relayed.
-        seconds: Time that targets spent.
+        calls: Number of first calls.
+        extra_calls: Number of retries, hedges and resumed streams.
+        tokens: Number of tokens relayed.
+        seconds: Time that targets spent on the calls.
     """
 
     team: str
@@ -42,10 +42,10 @@
 
 
 class Costs:
-    """Counts calls, tokens and seconds, also as metrics.
+    """Counts calls, tokens and seconds, and exports them as metrics.
 
     Args:
-        registry: Where the metrics are registered.
+        registry: The registry of the metrics.
     """
 
     def __init__(self, registry: prometheus.CollectorRegistry) -> None:
@@ -83,7 +83,7 @@
         by_key[key] += 1
 
     def count_seconds(self, key: CostKey, seconds: float) -> None:
-        """Count the time a target spent."""
+        """Count the time that a target spent on a call."""
         self._seconds_by_key[key] += seconds
 
     def count_tokens(self, key: CostKey, tokens: int) -> None:
@@ -94,12 +94,12 @@
     def count_request(
         self, team: str, pipeline: str, outcome: str, seconds: float
     ) -> None:
-        """Count a request that ended."""
+        """Count a finished request."""
         self._requests.labels(team, pipeline, outcome).inc()
         self._latency.labels(pipeline).observe(seconds)
 
     def rows(self) -> list[CostRow]:
-        """All counts, ordered by team, pipeline and stage."""
+        """Return all counts, ordered by team, pipeline and stage."""
         keys = sorted(self._calls_by_key | self._extra_by_key)
         return [
             CostRow(
--- a/packages/daemon/bergamotsaddle_daemon/fair_queue.py
+++ b/packages/daemon/bergamotsaddle_daemon/fair_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a target, ordered by their teams' shares."""
+"""A fair queue of the calls that wait for a target, weighted by team shares."""
 
 import heapq
 import itertools
@@ -9,8 +9,17 @@
 from bergamotsaddle_contracts.declaration import Team
 
 
-class Entry(NamedTuple):
-    """A place in the queue; entries sort by virtual start time, then priority."""
+class QueueEntry(NamedTuple):
+    """A position in the queue.
+
+    Entries sort by virtual start time, then by priority, then by order of arrival.
+
+    Attributes:
+        start: Virtual start time.
+        priority: Priority of the team; 1 sorts before 9.
+        number: Sequence number, which keeps the order of arrival.
+        waiter: The waiting call.
+    """
 
     start: float
     priority: int
@@ -19,76 +28,86 @@
 
 
 class Waiter:
-    """One waiting request; ``result`` is a slot or an error once it is decided."""
+    """One waiting call.
 
-    def __init__(self, need: object) -> None:
-        self.need = need
+    Attributes:
+        requirements: What the call needs.
+        result: A slot or an error once the call is resolved, else None.
+        resolved: Set when ``result`` is.
+        has_left_queue: Whether the call was resolved or has stopped waiting.
+    """
+
+    def __init__(self, requirements: object) -> None:
+        self.requirements = requirements
         self.result: object | None = None
-        self.decided = Event()
-        self.gone = False
+        self.resolved = Event()
+        self.has_left_queue = False
 
-    def decide(self, result: object) -> None:
-        """Give the waiting green thread its result."""
+    def resolve(self, result: object) -> None:
+        """Set the result and wake the green thread that waits for it."""
         self.result = result
-        self.decided.send()
+        self.resolved.send()
 
 
 class FairQueue:
-    """Start-time fair queueing over teams.
+    """A start-time fair queue over teams.
 
-    A team that floods the queue gets ever later virtual start times, so the requests
-    of other teams pass it and notice little: one that comes from a team with nothing
-    waiting is next.
+    Each call of a team that floods the queue gets a later virtual start time than the
+    one before it, so calls of other teams overtake them and are hardly delayed. A call
+    of a team with nothing else waiting is served next.
     """
 
     def __init__(self) -> None:
-        self._heap: list[Entry] = []
-        self._virtual = 0.0
-        self._finish_by_team: dict[str, float] = {}
+        self._heap: list[QueueEntry] = []
+        self._virtual_time = 0.0
+        self._virtual_finish_by_team: dict[str, float] = {}
         self._numbers = itertools.count()
 
     def __len__(self) -> int:
         return len(self._heap)
 
-    def start_of(self, team: Team) -> float:
-        """Virtual start time that the team's next request would get."""
-        return max(self._virtual, self._finish_by_team.get(team.name, 0.0))
+    def virtual_start_of(self, team: Team) -> float:
+        """Return the virtual start time that the team's next call would get."""
+        return max(self._virtual_time, self._virtual_finish_by_team.get(team.name, 0.0))
 
-    def before(self, team: Team) -> int:
-        """How many waiting requests the team's next one would have to wait for."""
-        start = self.start_of(team)
+    def count_ahead(self, team: Team) -> int:
+        """Return how many waiting calls would be served before the team's next one."""
+        start = self.virtual_start_of(team)
         return sum(entry.start < start for entry in self._heap)
 
     def has_waiting(self, team: Team) -> bool:
-        """Tell whether a request of the team waits already."""
-        return self._finish_by_team.get(team.name, 0.0) > self._virtual
+        """Return whether a call of the team is already waiting."""
+        return self._virtual_finish_by_team.get(team.name, 0.0) > self._virtual_time
 
     def push(self, team: Team, waiter: Waiter) -> None:
-        """Add a waiting request."""
-        start = self.start_of(team)
-        self._finish_by_team[team.name] = start + 1.0 / team.share
-        entry = Entry(start, team.priority, next(self._numbers), waiter)
+        """Add a waiting call."""
+        start = self.virtual_start_of(team)
+        self._virtual_finish_by_team[team.name] = start + 1.0 / team.share
+        entry = QueueEntry(start, team.priority, next(self._numbers), waiter)
         heapq.heappush(self._heap, entry)
 
-    def push_back(self, entry: Entry) -> None:
-        """Put back an entry that could not be served yet."""
+    def requeue(self, entry: QueueEntry) -> None:
+        """Put back an entry that was popped but could not be served yet."""
         heapq.heappush(self._heap, entry)
 
-    def pop(self) -> Entry | None:
-        """Take the next entry whose request still waits."""
+    def pop(self) -> QueueEntry | None:
+        """Remove and return the next entry that still waits, or None if there is none.
+
+        An empty queue forgets the virtual finish times of all teams.
+        """
         while self._heap:
             entry = heapq.heappop(self._heap)
-            if not entry.waiter.gone:
+            if not entry.waiter.has_left_queue:
                 return entry
-        self._finish_by_team.clear()
+        self._virtual_finish_by_team.clear()
         return None
 
-    def serve(self, entry: Entry) -> None:
+    def advance_to(self, entry: QueueEntry) -> None:
         """Advance virtual time to an entry that was served."""
-        self._virtual = max(self._virtual, entry.start)
+        self._virtual_time = max(self._virtual_time, entry.start)
 
     def drop(self, waiter: Waiter) -> None:
-        """Take out a request that gave up."""
-        waiter.gone = True
+        """Remove a call that has stopped waiting."""
+        waiter.has_left_queue = True
         self._heap = [entry for entry in self._heap if entry.waiter is not waiter]
         heapq.heapify(self._heap)
--- a/packages/daemon/bergamotsaddle_daemon/limits.py
+++ b/packages/daemon/bergamotsaddle_daemon/limits.py
@@ -1,100 +1,107 @@
-"""How many calls this instance has at one target at once."""
+"""Limits on the concurrent calls of this instance to one target."""
 
 from typing import Protocol
 
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.registry import LIMIT_POLICIES
 
-_GROWTH_FILL = 0.8
-_SHRINK = 0.85
-_SLOW_FACTOR = 1.5
+_GROWTH_UTILIZATION = 0.8
+_SHRINK_FACTOR = 0.85
+_SHRINK_LATENCY_FACTOR = 1.5
 _BASE_DRIFT = 0.02
-_SHRINK_PAUSE = 0.25
+_MIN_SHRINK_INTERVAL = 0.25
 _UNLIMITED = 1_000_000
 
 
 class Limit(Protocol):
-    """A bound on concurrent calls that may follow latency."""
+    """A limit on concurrent calls, which may adapt to latency.
+
+    Attributes:
+        value: The current limit.
+    """
 
     value: float
 
-    def finish(self, latency: float, in_flight: int) -> None:
-        """Learn from a call that was answered, latency in seconds."""
+    def record_success(self, latency: float, in_flight: int) -> None:
+        """Record the latency in seconds of a call that was answered."""
 
-    def fail(self) -> None:
-        """Learn from a call that failed."""
+    def record_failure(self) -> None:
+        """Record a call that failed."""
 
-    def share(self, start: float) -> None:
-        """Follow a change of this instance's even share of the declared limit."""
+    def set_share(self, share: float) -> None:
+        """Set this instance's even share of the declared limit."""
 
 
 @LIMIT_POLICIES.register("unlimited")
 class Unlimited:
-    """No bound; the baseline."""
+    """No limit; the baseline policy."""
 
-    def __init__(self, start: float, ceiling: float) -> None:
+    def __init__(self, share: float, ceiling: float) -> None:
         self.value: float = _UNLIMITED
 
-    def finish(self, latency: float, in_flight: int) -> None:
+    def record_success(self, latency: float, in_flight: int) -> None:
         """Do nothing."""
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Do nothing."""
 
-    def share(self, start: float) -> None:
+    def set_share(self, share: float) -> None:
         """Do nothing."""
 
 
 @LIMIT_POLICIES.register("declared")
-class Declared(Unlimited):
-    """This instance's even share of the declared limit; a second baseline."""
+class DeclaredLimit(Unlimited):
+    """This instance's even share of the declared limit; a second baseline policy."""
 
-    def __init__(self, start: float, ceiling: float) -> None:
-        self.value = start
+    def __init__(self, share: float, ceiling: float) -> None:
+        self.value = share
 
-    def share(self, start: float) -> None:
-        """Take the new share."""
-        self.value = start
+    def set_share(self, share: float) -> None:
+        """Set the limit to the new share."""
+        self.value = share
 
 
 @LIMIT_POLICIES.register("adaptive")
-class Adaptive:
-    """Additive increase while latency is near its base, else multiplicative decrease.
+class AdaptiveLimit:
+    """A limit with additive increase and multiplicative decrease.
+
+    It grows while latency stays near its base, the lowest latency of recent calls, and
+    shrinks when latency rises or a call fails.
 
     Args:
-        start: First value, this instance's even share of the declared limit.
-        ceiling: Highest value, the declared limit.
+        share: Initial limit, this instance's even share of the declared limit.
+        ceiling: Upper bound, the declared limit.
     """
 
-    def __init__(self, start: float, ceiling: float) -> None:
-        self.value = start
+    def __init__(self, share: float, ceiling: float) -> None:
+        self.value = share
         self._ceiling = ceiling
-        self._base = 0.0
-        self._shrunk_at = float("-inf")
-
-    def finish(self, latency: float, in_flight: int) -> None:
-        """Learn from a call that was answered, latency in seconds."""
-        if self._base == 0.0 or latency < self._base:
-            self._base = latency
-        self._base += _BASE_DRIFT * (latency - self._base)
-        if latency > _SLOW_FACTOR * self._base:
+        self._base_latency = 0.0
+        self._last_shrunk_at = float("-inf")
+
+    def record_success(self, latency: float, in_flight: int) -> None:
+        """Record the latency in seconds of a call that was answered."""
+        if self._base_latency == 0.0 or latency < self._base_latency:
+            self._base_latency = latency
+        self._base_latency += _BASE_DRIFT * (latency - self._base_latency)
+        if latency > _SHRINK_LATENCY_FACTOR * self._base_latency:
             self._shrink()
-        elif in_flight >= _GROWTH_FILL * self.value:
+        elif in_flight >= _GROWTH_UTILIZATION * self.value:
             self.value = min(self._ceiling, self.value + 1.0 / self.value)
 
-    def fail(self) -> None:
-        """Learn from a call that failed."""
+    def record_failure(self) -> None:
+        """Record a call that failed, which shrinks the limit."""
         self._shrink()
 
-    def share(self, start: float) -> None:
-        """Take the new share, unless something better has been learnt."""
-        if self._base == 0.0:
-            self.value = start
+    def set_share(self, share: float) -> None:
+        """Set the limit to the new share unless it has already adapted to latency."""
+        if self._base_latency == 0.0:
+            self.value = share
 
     def _shrink(self) -> None:
-        # Every call of one slow moment would shrink the limit again and bring it
-        # to one at once; shrinking once per pause lets the effect show first.
-        if now() - self._shrunk_at < _SHRINK_PAUSE:
+        # All calls of one slow period would shrink the limit in turn and reduce it to 1
+        # at once. The minimum interval lets the effect of one step show first.
+        if now() - self._last_shrunk_at < _MIN_SHRINK_INTERVAL:
             return
-        self._shrunk_at = now()
-        self.value = max(1.0, self.value * _SHRINK)
+        self._last_shrunk_at = now()
+        self.value = max(1.0, self.value * _SHRINK_FACTOR)
--- a/packages/daemon/bergamotsaddle_daemon/placement.py
+++ b/packages/daemon/bergamotsaddle_daemon/placement.py
@@ -1,4 +1,4 @@
-"""Which models sit on which engines, brought about by orders of the engines' homes."""
+"""Placement of models on engines, by orders from each engine's home."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -25,27 +25,28 @@
 LOAD = "load"
 UNLOAD = "unload"
 _ORDERS_PATH = "/v1/orders"
-_ORDER_LIMIT = 2.0
+_ORDER_TIMEOUT = 2.0
 _HIGHEST_PRIORITY = 1
 _FENCING_SHIFT = 32
 _OK = 200
 
 
 class Order(NamedTuple):
-    """What a target is told to do."""
+    """An order to a target: ``load`` or ``unload``, and the model."""
 
     action: str
     model: str
 
 
 class OrderBody(msgspec.Struct):
-    """An order as it is sent.
+    """The body of an order.
 
     Attributes:
         action: ``load`` or ``unload``.
         model: The model.
-        fencing: Grows with every change of the published list and declaration; a
-            target that checks it refuses a lower one than it has seen.
+        fencing: Fencing number, which grows with every change of the published instance
+            list or declaration. A target that checks it refuses an order with a lower
+            number than it has seen.
     """
 
     action: str
@@ -58,13 +59,13 @@
 ) -> dict[str, frozenset[str]]:
     """Choose the models that each target should hold.
 
-    Every instance with the same views comes to the same plan, and a target that comes
-    or goes changes it for few others. Each model gets a copy somewhere before any gets
-    a second, then each zone its declared copies, then the rarest fill the room left.
+    Instances with the same views compute the same plan, and adding or removing a target
+    changes the plan of few others. Each model first gets one copy, then each zone gets
+    the declared copies of each model, and the rarest models fill the remaining places.
 
     Args:
         targets: All targets in service that hold models.
-        declaration: Says how many copies are wanted.
+        declaration: Declares the number of copies of each model.
 
     Returns:
         The models to hold, by target id.
@@ -72,7 +73,7 @@
     plan: dict[str, set[str]] = {target.id: set() for target in targets}
     models = sorted({model for target in targets for model in target.models})
     zones = sorted({target.zone for target in targets})
-    wanted = {model: _wanted(declaration, model) for model in models}
+    wanted = {model: _wanted_copies(declaration, model) for model in models}
     for model in models:
         _add_copies(plan, targets, model, 1)
     for zone in zones:
@@ -89,7 +90,7 @@
     return {target_id: frozenset(models) for target_id, models in plan.items()}
 
 
-def _wanted(declaration: Declaration, model: str) -> int:
+def _wanted_copies(declaration: Declaration, model: str) -> int:
     declared = declaration.models.get(model)
     return declared.copies if declared else DEFAULT_COPIES
 
@@ -107,20 +108,22 @@
 
 
 def _ranked(targets: list[DeclaredTarget], model: str) -> list[DeclaredTarget]:
-    able = [target for target in targets if model in target.models]
-    return sorted(able, key=lambda t: rendezvous_weight(t.id, model), reverse=True)
+    candidates = [target for target in targets if model in target.models]
+    return sorted(
+        candidates, key=lambda t: rendezvous_weight(t.id, model), reverse=True
+    )
 
 
 class Placement:
-    """Orders the engines that this instance is home to.
+    """Loads and unloads models on the engines that this instance is home to.
 
     Args:
         settings: The daemon's settings.
-        views: The declaration and the list in force.
-        homes: Which targets this instance is home to.
-        home: Whether it may give them orders yet.
-        targets: Their reports.
-        decisions: Gets a line for each order.
+        views: The declaration and the instance list in force.
+        homes: Determines which targets this instance is home to.
+        issuer: Determines whether this instance may send them orders yet.
+        targets: The targets and their reports.
+        decisions: Records each order.
         connections: Sends the orders.
     """
 
@@ -129,7 +132,7 @@
         settings: Settings,
         views: Views,
         homes: Homes,
-        home: PermitIssuer,
+        issuer: PermitIssuer,
         targets: Targets,
         decisions: DecisionLog,
         connections: Connections,
@@ -137,7 +140,7 @@
         self._timing = settings.timing
         self._views = views
         self._homes = homes
-        self._home = home
+        self._issuer = issuer
         self._targets = targets
         self._decisions = decisions
         self._connections = connections
@@ -146,28 +149,28 @@
         self._last_plan: dict[str, frozenset[str]] = {}
 
     def run(self) -> None:
-        """Look and order for ever."""
+        """Compare the engines with the plan and order the next steps, forever."""
         while True:
             eventlet.sleep(self._timing.placement)
             for target_id in list(self._homes.home_since):
                 target = self._targets.by_id.get(target_id)
                 if target is not None and target.declared.models:
-                    self._look_at(target)
+                    self._reconcile(target)
 
-    def _look_at(self, target: Target) -> None:
+    def _reconcile(self, target: Target) -> None:
         order = self._next_order(target)
-        if order is None or not self._home.may_order(target.id):
+        if order is None or not self._issuer.may_order(target.id):
             return
-        # Weights come from a store that all share. One load at a time for each home
-        # keeps a change of many engines from taking it all at once.
+        # All engines load weights from the same store. One load at a time for each home
+        # keeps a change that affects many engines from saturating it.
         if order.action == LOAD and self._is_loading():
             return
         self._send(target, order)
 
     def _next_order(self, target: Target) -> Order | None:
-        """The next step towards the plan, or None if there is none to take now."""
+        """Return the next order towards the plan, or None if none is due now."""
         report = target.report
-        if report is None or report.models is None or self._awaits_effect(target):
+        if report is None or report.models is None or self._is_order_pending(target):
             return None
         loaded = frozenset(report.models)
         wanted = self._plan().get(target.id, frozenset())
@@ -177,12 +180,12 @@
         if len(loaded) < target.declared.holds:
             return Order(LOAD, missing[0])
         for model in sorted(loaded - wanted):
-            if self._may_drop(target, model):
+            if self._may_unload(target, model):
                 return Order(UNLOAD, model)
         return None
 
     def _plan(self) -> dict[str, frozenset[str]]:
-        """The plan by the views in force, made once for each of their versions."""
+        """Return the plan for the views in force, computed once for each version."""
         declaration = self._views.declaration
         version = (declaration.version, self._views.instances.version)
         if version != self._plan_version:
@@ -195,13 +198,13 @@
             self._last_plan = plan_models(holding, declaration)
         return self._last_plan
 
-    def _may_drop(self, target: Target, model: str) -> bool:
-        """Tell whether a model surely stays loaded at another target.
+    def _may_unload(self, target: Target, model: str) -> bool:
+        """Return whether a model is certain to stay loaded at another target.
 
-        Two homes that each counted on the other's copy would both drop it, and the
-        model would be gone. A copy that the plan keeps is dropped by nobody, and
-        among the others each counts only on copies at targets before it by id.
-        Model: ``drop`` in ``model/placement.py``.
+        If two homes each relied on the other's copy, both would unload it and the model
+        would be lost. No home unloads a copy that the plan keeps, and for other copies
+        each target relies only on targets with a lower id. Model: ``drop`` in
+        ``model/placement.py``.
         """
         plan = self._plan()
         return any(
@@ -212,11 +215,11 @@
             if other is not target and self._targets.accepts_new_work(other)
         )
 
-    def _awaits_effect(self, target: Target) -> bool:
-        """Tell whether the last order may still be under way.
+    def _is_order_pending(self, target: Target) -> bool:
+        """Return whether the last order may still be in progress.
 
-        Ordering again before the report shows the effect would load twice, or undo
-        what is just being done, and the engine would be busy with nothing else.
+        Another order before a report shows the effect would load the model twice or
+        undo the order in progress, and the engine would do nothing else.
         """
         ordered_at = self._ordered_at.get(target.id)
         if ordered_at is None:
@@ -229,17 +232,17 @@
 
     def _send(self, target: Target, order: Order) -> None:
         def guard() -> None:
-            if not self._home.may_order(target.id):
+            if not self._issuer.may_order(target.id):
                 raise PlaceLostError("not this target's home any more")
 
-        body = msgspec.json.encode(OrderBody(*order, self._fencing()))
+        body = msgspec.json.encode(OrderBody(*order, self._fencing_number()))
         attempt = f"{order.action}.{self._connections.next_attempt_number()}"
         call = Call(
             "order",
             attempt,
             _ORDERS_PATH,
             body,
-            now() + _ORDER_LIMIT,
+            now() + _ORDER_TIMEOUT,
             self._timing.connect,
             _HIGHEST_PRIORITY,
             {},
@@ -252,10 +255,10 @@
             outcome = str(error)
         choice = f"{target.id} {order.action} {order.model}"
         self._decisions.record("", "placement", choice, outcome)
-        eventlet.spawn_n(self._await_effect, target, order)
+        eventlet.spawn_n(self._wait_for_effect, target, order)
 
-    def _await_effect(self, target: Target, order: Order) -> None:
-        """Note the end of an order as soon as a report shows it."""
+    def _wait_for_effect(self, target: Target, order: Order) -> None:
+        """Clear a pending order as soon as a report shows its effect."""
         until = self._ordered_at[target.id] + self._timing.load_model
         while now() < until:
             eventlet.sleep(self._timing.placement)
@@ -266,6 +269,6 @@
                 break
         self._ordered_at.pop(target.id, None)
 
-    def _fencing(self) -> int:
+    def _fencing_number(self) -> int:
         list_version = self._views.instances.version
         return (list_version << _FENCING_SHIFT) + self._views.declaration.revision
--- a/packages/daemon/bergamotsaddle_daemon/pools.py
+++ b/packages/daemon/bergamotsaddle_daemon/pools.py
@@ -1,4 +1,4 @@
-"""Gives each call a place at a target, or a refusal at once."""
+"""Assigns each call a slot at a target, queues it, or rejects it at once."""
 
 import math
 
@@ -11,7 +11,7 @@
     RequestError,
     TargetError,
 )
-from bergamotsaddle_daemon.admission import ADMISSION_POLICIES, Need
+from bergamotsaddle_daemon.admission import ADMISSION_POLICIES, CallRequirements
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.decisions import DecisionLog
 from bergamotsaddle_daemon.fair_queue import FairQueue, Waiter
@@ -21,22 +21,24 @@
 from bergamotsaddle_daemon.targets import Target, Targets
 from bergamotsaddle_daemon.views import Views
 
-_COLD_RETRY = 0.1
-_DISPATCH_PAUSE = 0.05
-_FRESH_WAIT = 0.5
+_COLD_RETRY_INTERVAL = 0.1
+_DISPATCH_INTERVAL = 0.05
+_MAX_FRESH_VIEW_WAIT = 0.5
 _LATENCY_WEIGHT = 0.05
 _FIRST_BYTE_FACTOR = 4.0
-_MIN_FIRST_BYTE = 0.25
+_MIN_FIRST_BYTE_TIMEOUT = 0.25
 
 
 class Slot:
-    """A place at a target for one call; end it exactly once.
+    """A slot at a target for one call.
+
+    Exactly one of ``finish``, ``fail`` and ``abandon`` must be called at its end.
 
     Args:
-        pools: Where it came from.
-        pool: The calls of the same kind and model.
+        pools: The pools that the slot returns to.
+        pool: The pool of the call's kind and model.
         target: The target.
-        permit: Permit of a cold target, else None.
+        permit: The permit if the target is cold, else None.
     """
 
     def __init__(
@@ -44,23 +46,23 @@
     ) -> None:
         self._pools = pools
         self._pool = pool
-        self._began_at = now()
-        self._heard = False
+        self._started_at = now()
+        self._has_response_started = False
         self._is_sent = False
         self.target = target
         self.permit = permit
-        target.begin()
+        target.start_call()
 
     def check_before_send(self) -> None:
-        """Make sure that the target may still get the call.
+        """Check that the target may still get the call.
 
-        The process may have been paused after the choice. The target may have
-        turned cold or its zone may have been taken out meanwhile; the call would
-        then overload it or arrive after the zone was emptied. This runs right
-        before the first byte is sent.
+        The process may have been paused after the target was chosen. Meanwhile the
+        target may have turned cold or its zone may have been taken out, and the call
+        would overload the target or arrive after the zone was drained. This check runs
+        right before the first byte is sent.
 
         Raises:
-            PlaceLostError: If the place is no longer good.
+            PlaceLostError: If the slot is no longer valid.
         """
         if self.permit is not None and now() >= self.permit.expires_at:
             raise PlaceLostError("the permit ran out before the call")
@@ -71,88 +73,99 @@
         self._is_sent = True
 
     def elapsed(self) -> float:
-        """Seconds since the call began."""
-        return now() - self._began_at
+        """Return the seconds since the slot was assigned."""
+        return now() - self._started_at
 
     def first_byte_timeout(self) -> float:
-        """Seconds to wait for the first byte before trying elsewhere."""
-        if self._pool.first_byte == 0.0:
+        """Return the seconds to wait for the first byte before trying elsewhere.
+
+        There is no limit until a first byte has been received for this kind and model.
+        """
+        if self._pool.first_byte_latency == 0.0:
             return math.inf
-        return max(_MIN_FIRST_BYTE, _FIRST_BYTE_FACTOR * self._pool.first_byte)
+        return max(
+            _MIN_FIRST_BYTE_TIMEOUT, _FIRST_BYTE_FACTOR * self._pool.first_byte_latency
+        )
 
-    def limit_time(self, seconds: float) -> float:
-        """Shorten a time limit so that the call ends before its permit does."""
+    def cap_timeout(self, seconds: float) -> float:
+        """Shorten a timeout so that the call ends before its permit expires."""
         if self.permit is None:
             return seconds
         return min(seconds, self.permit.expires_at - now())
 
     def may_still_run(self) -> bool:
-        """Tell whether the target may go on working on the call.
+        """Return whether the target may still be working on the call.
 
-        Closing the connection doesn't stop every target. The permit of a call that
-        was given up is therefore not returned: its home counts it until it has run
-        out and a report proves its end.
+        Closing the connection doesn't stop every target. The permit of an abandoned
+        call is therefore not returned: the home counts it until it has expired and a
+        report proves that the call has ended.
         """
         return self._is_sent
 
     def record_response_data(self) -> None:
-        """The target sent some of its answer."""
-        self.target.answered_at = now()
-        if self._heard:
+        """Record that a part of the response was received."""
+        self.target.last_response_at = now()
+        if self._has_response_started:
             return
-        self._heard = True
-        self.target.record_first_byte(self.elapsed(), self._pool.first_byte)
-        self._pool.learn_first_byte(self.elapsed())
+        self._has_response_started = True
+        self.target.record_first_byte(self.elapsed(), self._pool.first_byte_latency)
+        self._pool.record_first_byte(self.elapsed())
 
     def finish(self) -> None:
-        """The target answered."""
+        """Release the slot after the complete response was received."""
         self.record_response_data()
-        self.target.finish()
+        self.target.finish_call()
         self._is_sent = False
         self._pools.release(self, self.elapsed())
 
     def fail(self, error: TargetError) -> None:
-        """The target failed."""
-        usual = self._pool.first_byte
-        self.target.fail(self._began_at, usual, timed_out=error.timed_out)
+        """Release the slot after the target failed."""
+        typical_latency = self._pool.first_byte_latency
+        self.target.fail_call(
+            self._started_at, typical_latency, timed_out=error.timed_out
+        )
         self._pools.release(self, None)
 
     def abandon(self) -> None:
-        """The call was given up without the target's fault."""
-        self.target.abandon()
+        """Release the slot of a call that ended without success or failure."""
+        self.target.abandon_call()
         self._pools.release(self, None)
 
 
 class _Pool:
-    """The calls waiting for one kind and model, and how long calls take there."""
+    """The waiting calls of one target kind and model, and their usual latencies."""
 
     def __init__(self) -> None:
         self.queue = FairQueue()
         self.latency = 0.0
-        self.first_byte = 0.0
+        self.first_byte_latency = 0.0
 
-    def learn(self, latency: float) -> None:
+    def record_latency(self, latency: float) -> None:
         if self.latency == 0.0:
             self.latency = latency
         self.latency += _LATENCY_WEIGHT * (latency - self.latency)
 
-    def learn_first_byte(self, latency: float) -> None:
-        if self.first_byte == 0.0:
-            self.first_byte = latency
-        # One target's slowness must not make the others' look usual.
-        bounded = min(latency, 2.0 * self.first_byte)
-        self.first_byte += _LATENCY_WEIGHT * (bounded - self.first_byte)
+    def record_first_byte(self, latency: float) -> None:
+        if self.first_byte_latency == 0.0:
+            self.first_byte_latency = latency
+        # Bounded, so that one slow target doesn't raise the average until slow targets
+        # look normal.
+        bounded = min(latency, 2.0 * self.first_byte_latency)
+        self.first_byte_latency += _LATENCY_WEIGHT * (bounded - self.first_byte_latency)
 
 
 class Pools:
-    """All waiting calls and the choice of a target for each.
+    """Chooses a target for each call and queues calls while none is free.
 
     Args:
         settings: The daemon's settings.
-        views: Whether the views are fresh.
+        views: Determines whether this instance's views are fresh.
+        targets: The targets to choose from.
+        permits: Obtains permits for calls to cold targets.
+        decisions: Records the reason for each choice.
+
+    Attributes:
         targets: The targets to choose from.
-        permits: Grants places at cold targets.
-        decisions: Gets a line for each choice.
     """
 
     def __init__(
@@ -170,166 +183,187 @@
         self._decisions = decisions
         self._policy = ROUTING_POLICIES.by_name[settings.policies.routing]()
         self._admission = ADMISSION_POLICIES.by_name[settings.policies.admission]()
-        self._pool_by_need: dict[tuple[str, str], _Pool] = {}
+        self._pool_by_service: dict[tuple[str, str], _Pool] = {}
         self._has_waiting = Event()
 
     def count_waiting(self) -> int:
-        """Number of calls that wait."""
-        return sum(len(pool.queue) for pool in self._pool_by_need.values())
+        """Return the number of waiting calls."""
+        return sum(len(pool.queue) for pool in self._pool_by_service.values())
 
-    def check_admission(self, need: Need) -> float:
-        """Refuse a request that would wait too long at one of its stages.
+    def check_admission(self, requirements: CallRequirements) -> float:
+        """Reject a request that would wait too long at one of its stages.
 
         Returns:
-            Seconds that it is expected to wait.
+            The seconds that the call is expected to wait.
 
         Raises:
-            RequestError: If it is not expected to make its deadline.
+            RequestError: If the request is not expected to meet its deadline.
         """
-        wait = self._expected_wait(need)
-        is_first = not self._pool(need).queue.has_waiting(need.team)
-        self._admission.check(need, wait, is_first=is_first)
+        wait = self._expected_wait(requirements)
+        is_first = not self._pool(requirements).queue.has_waiting(requirements.team)
+        self._admission.check(requirements, wait, is_first=is_first)
         return wait
 
-    def acquire(self, need: Need) -> Slot:
-        """Wait for a place at a target.
+    def acquire(self, requirements: CallRequirements) -> Slot:
+        """Wait for a slot at a target.
 
         Raises:
-            RequestError: If no target may get the call or its wait would be too long.
+            RequestError: If no target may get the call or the wait would be too long.
         """
-        self._views.wait_until_fresh(min(_FRESH_WAIT, max(0.0, need.slack)))
-        pool = self._pool(need)
+        self._views.wait_until_fresh(
+            min(_MAX_FRESH_VIEW_WAIT, max(0.0, requirements.slack))
+        )
+        pool = self._pool(requirements)
         if not len(pool.queue):
-            slot = self._try_warm(need) or self._try_cold(need)
+            slot = self._try_warm(requirements) or self._try_cold(requirements)
             if slot is not None:
                 return slot
-        self._check_queue(need, pool)
-        return self._wait(need, pool)
+        self._check_queue(requirements, pool)
+        return self._wait_in_queue(requirements, pool)
 
     def release(self, slot: Slot, latency: float | None) -> None:
-        """Take a place back and hand it to who waits for it."""
+        """Return the permit of a finished call and assign the slot to a waiting call.
+
+        Args:
+            slot: The slot.
+            latency: Seconds until the complete response, or None without one.
+        """
         if slot.permit is not None and not slot.may_still_run():
             self._permits.release(slot.permit)
         declared = slot.target.declared
-        for (kind, model), pool in self._pool_by_need.items():
+        for (kind, model), pool in self._pool_by_service.items():
             if kind != declared.kind or (model and model not in declared.models):
                 continue
             if latency is not None:
-                pool.learn(latency)
+                pool.record_latency(latency)
             self._dispatch(pool)
 
     def dispatch_forever(self) -> None:
-        """Serve waiting calls also when room appears without a call ending."""
+        """Serve waiting calls when capacity appears without a call ending."""
         while True:
             if not self.count_waiting():
                 self._has_waiting.wait()
-            eventlet.sleep(_DISPATCH_PAUSE)
-            for pool in list(self._pool_by_need.values()):
+            eventlet.sleep(_DISPATCH_INTERVAL)
+            for pool in list(self._pool_by_service.values()):
                 self._dispatch(pool)
 
-    def _pool(self, need: Need) -> _Pool:
-        return self._pool_by_need.setdefault((need.kind, need.model), _Pool())
+    def _pool(self, requirements: CallRequirements) -> _Pool:
+        return self._pool_by_service.setdefault(
+            (requirements.kind, requirements.model), _Pool()
+        )
 
-    def _candidates(self, need: Need) -> list[Target]:
+    def _candidates(self, requirements: CallRequirements) -> list[Target]:
         return [
             target
-            for target in self.targets.by_kind.get(need.kind, ())
-            if target.id not in need.exclude
-            and target.serves(need.model)
+            for target in self.targets.by_kind.get(requirements.kind, ())
+            if target.id not in requirements.exclude
+            and target.serves(requirements.model)
             and self._permits.can_use(target)
             and self.targets.accepts_new_work(target)
         ]
 
-    def _usable(self, need: Need) -> list[Target]:
-        allowed = self._candidates(need)
+    def _usable_targets(self, requirements: CallRequirements) -> list[Target]:
+        allowed = self._candidates(requirements)
         if not allowed:
-            detail = f"no {need.kind} target is in service"
-            raise RequestError(ErrorKind.NO_TARGET, detail, ran=need.ran)
+            detail = f"no {requirements.kind} target is in service"
+            raise RequestError(ErrorKind.NO_TARGET, detail, ran=requirements.ran)
         usable = [target for target in allowed if not target.is_backing_off()]
         if not usable:
-            detail = f"every {need.kind} target has just failed"
-            raise RequestError(ErrorKind.NO_TARGET, detail, ran=need.ran)
-        # If all of them are slow none stands out, and slow ones beat none.
+            detail = f"every {requirements.kind} target has just failed"
+            raise RequestError(ErrorKind.NO_TARGET, detail, ran=requirements.ran)
+        # If all targets are slow they are still better than none.
         return [target for target in usable if not target.is_slow()] or usable
 
-    def _has_room(self, target: Target) -> bool:
-        room = target.limit.value * self.targets.ramp_fraction(target.declared.zone)
-        return target.in_flight < max(1.0, room)
+    def _has_capacity(self, target: Target) -> bool:
+        capacity = target.limit.value * self.targets.ramp_fraction(target.declared.zone)
+        return target.in_flight < max(1.0, capacity)
 
-    def _try_warm(self, need: Need) -> Slot | None:
-        usable = self._usable(need)
-        free = [t for t in usable if not t.is_cold() and self._has_room(t)]
+    def _try_warm(self, requirements: CallRequirements) -> Slot | None:
+        usable = self._usable_targets(requirements)
+        free = [t for t in usable if not t.is_cold() and self._has_capacity(t)]
         if not free:
             return None
-        request = RoutingRequest(self._settings.daemon.zone, need.prefix)
+        request = RoutingRequest(self._settings.daemon.zone, requirements.prefix)
         choice: Choice = self._policy(free, request)
         self._decisions.record(
-            need.request, "route", choice.target.id, choice.reason, len(free)
+            requirements.request, "route", choice.target.id, choice.reason, len(free)
         )
-        return Slot(self, self._pool(need), choice.target, None)
+        return Slot(self, self._pool(requirements), choice.target, None)
 
-    def _try_cold(self, need: Need) -> Slot | None:
+    def _try_cold(self, requirements: CallRequirements) -> Slot | None:
         cold = [
             target
-            for target in self._usable(need)
+            for target in self._usable_targets(requirements)
             if target.is_cold() and now() >= target.permit_refused_until
         ]
         cold.sort(key=lambda t: (t.declared.zone != self._settings.daemon.zone, t.id))
         for target in cold:
-            permit, reason = self._permits.request(target, need.deadline - now())
+            permit, reason = self._permits.request(
+                target, requirements.deadline - now()
+            )
             self._decisions.record(
-                need.request, "permit", target.id if permit else "", reason, len(cold)
+                requirements.request,
+                "permit",
+                target.id if permit else "",
+                reason,
+                len(cold),
             )
             if permit is not None:
-                return Slot(self, self._pool(need), target, permit)
-            target.permit_refused_until = now() + _COLD_RETRY
+                return Slot(self, self._pool(requirements), target, permit)
+            target.permit_refused_until = now() + _COLD_RETRY_INTERVAL
         return None
 
-    def _expected_wait(self, need: Need) -> float:
-        pool = self._pool(need)
-        before = pool.queue.before(need.team)
-        if not before:
+    def _expected_wait(self, requirements: CallRequirements) -> float:
+        pool = self._pool(requirements)
+        ahead = pool.queue.count_ahead(requirements.team)
+        if not ahead:
             return 0.0
-        usable = [t for t in self._candidates(need) if not t.is_cold()]
-        room = sum(min(t.limit.value, t.declared.limit) for t in usable)
-        return (before + 1) * pool.latency / max(1.0, room)
+        usable = [t for t in self._candidates(requirements) if not t.is_cold()]
+        capacity = sum(min(t.limit.value, t.declared.limit) for t in usable)
+        return (ahead + 1) * pool.latency / max(1.0, capacity)
 
-    def _check_queue(self, need: Need, pool: _Pool) -> None:
-        wait = self.check_admission(need)
+    def _check_queue(self, requirements: CallRequirements, pool: _Pool) -> None:
+        wait = self.check_admission(requirements)
         if len(pool.queue) >= self._settings.limits.queue:
-            detail = f"{len(pool.queue)} calls already wait for {need.kind}"
+            detail = f"{len(pool.queue)} calls already wait for {requirements.kind}"
             raise RequestError(
-                ErrorKind.OVERLOADED, detail, ran=need.ran, retry_after=max(0.1, wait)
+                ErrorKind.OVERLOADED,
+                detail,
+                ran=requirements.ran,
+                retry_after=max(0.1, wait),
             )
 
-    def _wait(self, need: Need, pool: _Pool) -> Slot:
-        waiter = Waiter(need)
-        is_first = not pool.queue.has_waiting(need.team)
-        give_up_at = self._admission.give_up_at(need, is_first=is_first)
-        pool.queue.push(need.team, waiter)
+    def _wait_in_queue(self, requirements: CallRequirements, pool: _Pool) -> Slot:
+        waiter = Waiter(requirements)
+        is_first = not pool.queue.has_waiting(requirements.team)
+        queue_deadline = self._admission.queue_deadline(requirements, is_first=is_first)
+        pool.queue.push(requirements.team, waiter)
         has_waiting, self._has_waiting = self._has_waiting, Event()
         has_waiting.send()
         try:
-            while waiter.result is None and now() < give_up_at:
-                step = min(_COLD_RETRY, give_up_at - now())
-                waiter.decided.wait(timeout=step)
+            while waiter.result is None and now() < queue_deadline:
+                step = min(_COLD_RETRY_INTERVAL, queue_deadline - now())
+                waiter.resolved.wait(timeout=step)
                 if waiter.result is None:
-                    slot = self._try_cold(need)
+                    slot = self._try_cold(requirements)
                     if slot is not None and waiter.result is None:
                         return slot
                     if slot is not None:
                         slot.abandon()
         except BaseException:
-            # Killed, as when a hedge has won, just after a place was handed over.
-            # Nobody else knows of that place; the target would lose it for good.
+            # This green thread was killed, for example because a hedge has won, right
+            # after it was assigned a slot. Nothing else refers to that slot; without
+            # this the target would lose it for good.
             if isinstance(waiter.result, Slot):
                 waiter.result.abandon()
             raise
         finally:
             pool.queue.drop(waiter)
         if waiter.result is None:
-            detail = f"no place at a {need.kind} target in time"
-            raise RequestError(ErrorKind.DEADLINE_INFEASIBLE, detail, ran=need.ran)
+            detail = f"no place at a {requirements.kind} target in time"
+            raise RequestError(
+                ErrorKind.DEADLINE_INFEASIBLE, detail, ran=requirements.ran
+            )
         if isinstance(waiter.result, RequestError):
             raise waiter.result
         return waiter.result
@@ -337,14 +371,14 @@
     def _dispatch(self, pool: _Pool) -> None:
         while (entry := pool.queue.pop()) is not None:
             try:
-                slot = self._try_warm(entry.waiter.need)
+                slot = self._try_warm(entry.waiter.requirements)
             except RequestError as error:
-                entry.waiter.gone = True
-                entry.waiter.decide(error)
+                entry.waiter.has_left_queue = True
+                entry.waiter.resolve(error)
                 continue
             if slot is None:
-                pool.queue.push_back(entry)
+                pool.queue.requeue(entry)
                 return
-            pool.queue.serve(entry)
-            entry.waiter.gone = True
-            entry.waiter.decide(slot)
+            pool.queue.advance_to(entry)
+            entry.waiter.has_left_queue = True
+            entry.waiter.resolve(slot)
--- a/packages/daemon/bergamotsaddle_daemon/registry.py
+++ b/packages/daemon/bergamotsaddle_daemon/registry.py
@@ -1,4 +1,4 @@
-"""Registries of exchangeable behaviour, filled by decorators."""
+"""Registries of interchangeable implementations, filled by decorators."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -7,10 +7,14 @@
 
 
 class Registry(Generic[Entry]):
-    """Named variants of one behaviour.
+    """Named implementations of one interface.
 
     Args:
-        subject: What the variants are, for messages.
+        subject: What the implementations are, for error messages.
+
+    Attributes:
+        subject: What the implementations are, for error messages.
+        by_name: The implementations by name.
     """
 
     def __init__(self, subject: str) -> None:
@@ -18,7 +22,7 @@
         self.by_name: dict[str, Entry] = {}
 
     def register(self, name: str) -> Callable[[Entry], Entry]:
-        """Make a decorator that adds a variant under a name."""
+        """Return a decorator that registers an implementation under a name."""
 
         def add(entry: Entry) -> Entry:
             self.by_name[name] = entry
@@ -27,14 +31,14 @@
         return add
 
     def parse(self, text: str) -> str:
-        """Check a name from a settings file.
+        """Check the name of an implementation from a settings file.
 
         Raises:
-            ValueError: If no variant has this name.
+            ValueError: If no implementation has this name.
         """
         if text not in self.by_name:
             names = ", ".join(sorted(self.by_name))
-            raise ValueError(f"expected a {self.subject}: {names}")
+            raise ValueError(f"unknown {self.subject}; expected one of: {names}")
         return text
 
 
--- a/packages/daemon/bergamotsaddle_daemon/request.py
+++ b/packages/daemon/bergamotsaddle_daemon/request.py
@@ -1,4 +1,4 @@
-"""A caller's request while it is being served."""
+"""A caller's request while the instance serves it."""
 
 import uuid
 
@@ -15,8 +15,17 @@
     Args:
         team: The caller's team.
         name: Name of the pipeline, or kind of the service.
-        seconds: Time until the deadline.
-        priority: Priority of the pipeline.
+        seconds: Seconds until the deadline.
+        priority: Priority of the pipeline; 1 is the highest.
+
+    Attributes:
+        id: Random id of the request.
+        team: The caller's team.
+        name: Name of the pipeline, or kind of the service.
+        started_at: When the request arrived.
+        deadline: When the request must be answered.
+        priority: Average of the team's and the pipeline's priority.
+        ran: Whether any part of the request has reached a target.
     """
 
     def __init__(self, team: Team, name: str, seconds: float, priority: int) -> None:
@@ -30,9 +39,9 @@
 
     @property
     def remaining(self) -> float:
-        """Seconds until the deadline."""
+        """Seconds left until the deadline."""
         return self.deadline - now()
 
     def mark_sent(self) -> None:
-        """Note that a byte is about to leave for a target."""
+        """Record that the first byte is about to be sent to a target."""
         self.ran = Ran.YES
--- a/packages/daemon/bergamotsaddle_daemon/retries.py
+++ b/packages/daemon/bergamotsaddle_daemon/retries.py
@@ -1,32 +1,36 @@
-"""Budgets that keep retries and hedges a small part of all calls."""
+"""Budgets that limit retries and hedges to a small fraction of all calls."""
 
 _BURST = 10.0
 
 
 class RetryBudget:
-    """Extra calls allowed by team and kind of target, as a part of plain calls.
+    """A budget of extra calls for each team and kind of target.
 
-    When a kind of target fails, each caller's retry adds load to what is left, and
-    all retries together keep it down; operators would see calls a stage grow
-    several times. A budget that only plain calls refill bounds that growth.
+    When some targets of a kind fail, each retry adds load to the remaining ones, and
+    all retries together can keep them overloaded, with several times the usual calls to
+    the stage. A budget that only first calls refill limits that growth.
 
     Args:
-        percent: Extra calls allowed per hundred plain calls.
+        percent: Extra calls allowed per hundred first calls.
     """
 
     def __init__(self, percent: int) -> None:
         self._refill = percent / 100
-        self._left_by_user: dict[tuple[str, str], float] = {}
+        self._remaining_by_user: dict[tuple[str, str], float] = {}
 
     def count_call(self, team: str, kind: str) -> None:
-        """Count a plain call."""
-        left = self._left_by_user.get((team, kind), _BURST)
-        self._left_by_user[team, kind] = min(_BURST, left + self._refill)
-
-    def take(self, team: str, kind: str) -> bool:
-        """Use one extra call if the budget has it."""
-        left = self._left_by_user.get((team, kind), _BURST)
-        if left < 1.0:
+        """Count a first call, which refills the budget."""
+        remaining = self._remaining_by_user.get((team, kind), _BURST)
+        self._remaining_by_user[team, kind] = min(_BURST, remaining + self._refill)
+
+    def try_spend(self, team: str, kind: str) -> bool:
+        """Spend one extra call if the budget allows it.
+
+        Returns:
+            Whether the call is allowed.
+        """
+        remaining = self._remaining_by_user.get((team, kind), _BURST)
+        if remaining < 1.0:
             return False
-        self._left_by_user[team, kind] = left - 1.0
+        self._remaining_by_user[team, kind] = remaining - 1.0
         return True
--- a/packages/daemon/bergamotsaddle_daemon/services.py
+++ b/packages/daemon/bergamotsaddle_daemon/services.py
@@ -1,4 +1,4 @@
-"""Serves requests to plain services, repeatable or not."""
+"""Calls plain services, whether their calls may be repeated or not."""
 
 from collections.abc import Callable
 
@@ -40,8 +40,8 @@
     """Calls plain services.
 
     Args:
-        views: The declared targets.
-        stages: Calls repeatable services and gives places.
+        views: The declared targets and teams.
+        stages: Calls repeatable services and assigns slots.
         connections: Connections to targets.
         costs: Counts calls.
         decisions: The decision log.
@@ -67,10 +67,10 @@
         return self._views.declaration
 
     def check_declared(self, kind: str) -> None:
-        """Make sure that a service of this kind is declared.
+        """Check that targets of a service are declared.
 
         Raises:
-            RequestError: If it isn't, or if it is a stage of pipelines only.
+            RequestError: If no target of this kind is declared.
         """
         targets = self.declaration.targets.values()
         if not any(target.kind == kind for target in targets):
@@ -79,8 +79,11 @@
     def call_repeatable(self, request: Request, path: str, body: bytes) -> bytes:
         """Call a service whose calls may be repeated.
 
+        Returns:
+            The body of the response.
+
         Raises:
-            RequestError: If there is no answer.
+            RequestError: If no call succeeded.
         """
         stage = Stage(request.name, "", f"{SERVICE_PATH}{request.name}/{path}", body)
         return self._stages.call(request, stage)
@@ -90,19 +93,21 @@
     ) -> Outcome:
         """Send a request that must not be repeated, at most once.
 
-        Another target is tried only while no byte has left, or if the target's
-        answer is one by which it promises that nothing ran.
+        Another target is tried only if no byte was sent, or if the target responded
+        with a status that is declared to mean that nothing ran.
 
         Args:
             message: The request.
-            key: Passed on as idempotency key.
-            check_may_start: Called right before the first byte; raises to stop.
+            key: The idempotency key passed on to the target.
+            check_may_start: Called right before the first byte; raises an error to
+                stop the call.
 
         Returns:
-            How it ended; ``not_run`` only if it provably did not run.
+            The outcome; ``not_run`` only if the request provably did not run.
 
         Raises:
-            RequestError: If it did not run because no target could get it.
+            RequestError: If the request did not run because no target could take it
+                or ``check_may_start`` stopped it.
         """
         request = self._request(message)
         path = f"{SERVICE_PATH}{message.kind}/{message.path}"
@@ -163,11 +168,11 @@
 
 
 def outcome_error(outcome: Outcome) -> RequestError:
-    """Turn an outcome that is no answer into the error for the caller."""
+    """Convert an outcome without a response into the caller's error."""
     kind = _KIND_BY_STATE.get(outcome.state, ErrorKind.OUTCOME_UNKNOWN)
     return RequestError(kind, outcome.detail)
 
 
 def is_finished(outcome: Outcome) -> bool:
-    """Tell whether an outcome holds the target's answer."""
+    """Return whether an outcome holds the target's response."""
     return outcome.state == FINISHED
--- a/packages/daemon/bergamotsaddle_daemon/stages.py
+++ b/packages/daemon/bergamotsaddle_daemon/stages.py
@@ -1,4 +1,4 @@
-"""Calls one stage of a pipeline, with retries and hedges within their budgets."""
+"""Calls single stages of pipelines, with retries and hedges within their budgets."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
     RequestError,
     TargetError,
 )
-from bergamotsaddle_daemon.admission import Need
+from bergamotsaddle_daemon.admission import CallRequirements
 from bergamotsaddle_daemon.calls import Call, Connections
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import FIRST, HEDGE, RETRY, CostKey, Costs
@@ -32,10 +32,10 @@
 
     Attributes:
         kind: Kind of target.
-        model: Model needed, or an empty string.
-        path: Path at the target.
-        body: What to post.
-        prefix: Start of the prompt, for cache affinity.
+        model: Model the target must serve, or an empty string for any target.
+        path: URL path at the target.
+        body: Body of the call.
+        prefix: Start of the prompt, for prefix cache affinity.
         later_kinds: Kinds of the stages after this one.
     """
 
@@ -48,23 +48,30 @@
 
 
 class _Attempt:
-    """One call of a race: its green thread, target and result."""
+    """One call of a stage, which may race against a hedge.
 
-    def __init__(self, what: str) -> None:
-        self.what = what
+    Attributes:
+        attempt_type: ``first``, ``retry`` or ``hedge``.
+        target_id: Id of the target, or an empty string until one is assigned.
+        reply: Body of the response.
+        error: The error, or None if the call succeeded.
+    """
+
+    def __init__(self, attempt_type: str) -> None:
+        self.attempt_type = attempt_type
         self.target_id = ""
         self.reply: bytes = b""
         self.error: Exception | None = None
 
 
 class StageCaller:
-    """Calls stages.
+    """Calls stages and decides on retries and hedges.
 
     Args:
         settings: The daemon's settings.
-        pools: Gives places at targets.
+        pools: Assigns slots at targets.
         connections: Connections to targets.
-        times: Measured costs in time.
+        latencies: Measured latencies of stages.
         costs: Counts calls.
         decisions: The decision log.
     """
@@ -74,65 +81,68 @@
         settings: Settings,
         pools: Pools,
         connections: Connections,
-        times: StageLatencies,
+        latencies: StageLatencies,
         costs: Costs,
         decisions: DecisionLog,
     ) -> None:
         self._settings = settings
         self._pools = pools
         self._connections = connections
-        self._times = times
+        self._latencies = latencies
         self._costs = costs
         self._decisions = decisions
         self._retries = RetryBudget(settings.limits.retry_percent)
         self._hedges = RetryBudget(settings.limits.hedge_percent)
 
     def call(self, request: Request, stage: Stage) -> bytes:
-        """Call a repeatable stage until it answers or the request is given up.
+        """Call a repeatable stage until it succeeds or no retry is allowed.
+
+        Returns:
+            The body of the response.
 
         Raises:
-            RequestError: If there is no answer.
+            RequestError: If no call succeeded.
         """
         self.count_first_call(request, stage)
-        what = FIRST
+        attempt_type = FIRST
         failed: frozenset[str] = frozenset()
         while True:
-            attempt = self._race(request, stage, what, failed)
+            attempt = self._race(request, stage, attempt_type, failed)
             if attempt.error is None:
                 return attempt.reply
             failed |= {attempt.target_id}
-            what = self.decide_retry(request, stage, attempt.error)
+            attempt_type = self.decide_retry(request, stage, attempt.error)
 
     def count_first_call(self, request: Request, stage: Stage) -> None:
-        """Count the plain call of a stage, which refills the budgets."""
+        """Count the first call of a stage, which refills the budgets."""
         self._retries.count_call(request.team.name, stage.kind)
         self._hedges.count_call(request.team.name, stage.kind)
 
     def call_requirements(
         self, request: Request, stage: Stage, exclude: frozenset[str]
-    ) -> Need:
-        """Say what a call of a stage needs of a target."""
+    ) -> CallRequirements:
+        """Return the requirements of a call of a stage."""
         kinds = (stage.kind, *stage.later_kinds)
-        return Need(
+        return CallRequirements(
             request=request.id,
             team=request.team,
             kind=stage.kind,
             model=stage.model,
             prefix=stage.prefix,
             deadline=request.deadline,
-            ahead=self._times.total(request.name, kinds),
+            expected_seconds=self._latencies.total(request.name, kinds),
             ran=request.ran,
             exclude=exclude,
         )
 
     def decide_retry(self, request: Request, stage: Stage, error: Exception) -> str:
-        """Allow one more call after an error, or give the request up.
+        """Allow another call after an error, or fail the request.
 
         Returns:
-            What kind of call the next one is.
+            The type of the next call, ``first`` or ``retry``.
 
         Raises:
-            RequestError: If the request is given up.
+            RequestError: If no other call is allowed.
         """
         if isinstance(error, RequestError):
             raise error
@@ -142,14 +152,14 @@
         if request.remaining <= 0:
             detail = f"{stage.kind}: deadline passed, last {error}"
             raise RequestError(ErrorKind.DEADLINE_PASSED, detail, ran=request.ran)
-        if not self._retries.take(request.team.name, stage.kind):
+        if not self._retries.try_spend(request.team.name, stage.kind):
             detail = f"{stage.kind}: {error}; retry budget is used up"
             raise RequestError(ErrorKind.TARGET_FAILED, detail, ran=request.ran)
         self._decisions.record(request.id, "retry", stage.kind, str(error))
         return RETRY
 
     def acquire(self, request: Request, stage: Stage, failed: frozenset[str]) -> Slot:
-        """Wait for a place, also at targets that failed if there is no other."""
+        """Wait for a slot, at a target that failed before only if there is no other."""
         try:
             return self._pools.acquire(self.call_requirements(request, stage, failed))
         except RequestError as error:
@@ -162,8 +172,16 @@
     def make_call(
         self, request: Request, stage: Stage, slot: Slot, limit: float
     ) -> Call:
-        """Describe one attempt that may take some seconds."""
-        seconds = slot.limit_time(min(limit, request.remaining))
+        """Build the call of one attempt.
+
+        Args:
+            request: The request.
+            stage: The stage to call.
+            slot: The slot at the target.
+            limit: Seconds that the attempt may take; the deadline of the request and
+                the expiry of a permit may shorten it.
+        """
+        seconds = slot.cap_timeout(min(limit, request.remaining))
         return Call(
             request=request.id,
             stage=f"{stage.kind}.{self._connections.next_attempt_number()}",
@@ -176,21 +194,21 @@
         )
 
     def cost_key(self, request: Request, stage: Stage) -> CostKey:
-        """Whom a stage's cost is counted for."""
+        """Return the key under which the cost of a stage is counted."""
         return CostKey(request.team.name, request.name, stage.kind)
 
     def _race(
-        self, request: Request, stage: Stage, what: str, failed: frozenset[str]
+        self, request: Request, stage: Stage, attempt_type: str, failed: frozenset[str]
     ) -> _Attempt:
-        """Run one attempt, and a second one beside it if the first is slow."""
+        """Run one attempt, and a hedge in parallel if it is slow."""
         finished: LightQueue = LightQueue()
-        first = _Attempt(what)
+        first = _Attempt(attempt_type)
         threads = [
             eventlet.spawn(self._run, request, stage, first, failed, finished),
         ]
         try:
-            winner = self._next(finished, self._hedge_delay(request, stage))
-            if winner is None and self._may_hedge(request, stage, first):
+            winner = self._next_finished(finished, self._hedge_delay(request, stage))
+            if winner is None and self._try_hedge(request, stage, first):
                 second = _Attempt(HEDGE)
                 exclude = failed | {first.target_id}
                 run = (request, stage, second, exclude, finished)
@@ -204,22 +222,24 @@
             for thread in threads:
                 thread.kill()
 
-    def _next(self, finished: LightQueue, delay: float | None) -> _Attempt | None:
+    def _next_finished(
+        self, finished: LightQueue, delay: float | None
+    ) -> _Attempt | None:
         try:
             return finished.get(timeout=delay)
         except eventlet.queue.Empty:
             return None
 
     def _hedge_delay(self, request: Request, stage: Stage) -> float | None:
-        usual = self._times.of(request.name, stage.kind).careful
-        if usual == 0.0:
+        typical_seconds = self._latencies.of(request.name, stage.kind).upper_estimate
+        if typical_seconds == 0.0:
             return None
-        return max(_MIN_HEDGE_DELAY, _HEDGE_FACTOR * usual)
+        return max(_MIN_HEDGE_DELAY, _HEDGE_FACTOR * typical_seconds)
 
-    def _may_hedge(self, request: Request, stage: Stage, first: _Attempt) -> bool:
+    def _try_hedge(self, request: Request, stage: Stage, first: _Attempt) -> bool:
         if not first.target_id:
             return False
-        if not self._hedges.take(request.team.name, stage.kind):
+        if not self._hedges.try_spend(request.team.name, stage.kind):
             return False
         reason = f"{first.target_id} is slow"
         self._decisions.record(request.id, "hedge", stage.kind, reason)
@@ -250,15 +270,15 @@
         address = slot.target.declared.address
         attempt.target_id = slot.target.id
         key = self.cost_key(request, stage)
-        later = self._times.total(request.name, stage.later_kinds)
-        limit = self._times.attempt_limit(
-            request.name, stage.kind, request.remaining - later
+        later_seconds = self._latencies.total(request.name, stage.later_kinds)
+        limit = self._latencies.attempt_timeout(
+            request.name, stage.kind, request.remaining - later_seconds
         )
 
         def guard() -> None:
             slot.check_before_send()
             request.mark_sent()
-            self._costs.count_call(key, attempt.what)
+            self._costs.count_call(key, attempt.attempt_type)
 
         try:
             call = self.make_call(request, stage, slot, limit)
@@ -272,7 +292,7 @@
         except BaseException:
             slot.abandon()
             raise
-        self._times.record(request.name, stage.kind, slot.elapsed())
+        self._latencies.record(request.name, stage.kind, slot.elapsed())
         self._costs.count_seconds(key, slot.elapsed())
         slot.finish()
         return reply.body
--- a/packages/daemon/bergamotsaddle_daemon/targets.py
+++ b/packages/daemon/bergamotsaddle_daemon/targets.py
@@ -1,4 +1,4 @@
-"""The targets as this instance sees them."""
+"""The state of each target as this instance knows it."""
 
 from bergamotsaddle_contracts.declaration import DeclaredTarget
 from bergamotsaddle_contracts.messages import TargetReport
@@ -7,23 +7,37 @@
 from bergamotsaddle_daemon.settings import Settings
 from bergamotsaddle_daemon.views import Views
 
-_FAILURES_TO_OPEN = 3
-_FIRST_REST = 0.5
-_LONGEST_REST = 8.0
+_FAILURES_BEFORE_BACKOFF = 3
+_MIN_BACKOFF = 0.5
+_MAX_BACKOFF = 8.0
 _LATENCY_WEIGHT = 0.1
-_SUSPECT_FACTOR = 6.0
+_SILENCE_FACTOR = 6.0
 _SLOW_FACTOR = 3.0
-_MIN_SLOW = 0.1
-_MIN_SUSPECT = 1.0
+_MIN_SLOW_LATENCY = 0.1
+_MIN_SILENCE = 1.0
 
 
 class Target:
-    """One target: what is declared, reported and measured of it.
+    """One target: its declaration, its latest report and this instance's measurements.
+
+    A target that fails several times in a row gets no calls during a backoff, which
+    doubles with each further failure. The same holds for a target that is far slower
+    than others of its kind. After the backoff one call at a time probes the target.
 
     Args:
-        declared: The operators' declaration of it.
+        declared: The target's declaration.
         settings: The daemon's settings.
-        instances: Number of entry instances that share its limit.
+        instances: Number of entry instances that share the target's limit.
+
+    Attributes:
+        declared: The target's declaration.
+        limit: Limit on this instance's concurrent calls.
+        in_flight: Number of this instance's calls in progress.
+        calls: Number of calls started.
+        failures: Number of calls failed.
+        latency: Moving average of the seconds until the first byte; 0.0 if unknown.
+        last_response_at: When any response data was last received.
+        permit_refused_until: Until when no further permit is requested.
     """
 
     def __init__(
@@ -36,25 +50,25 @@
         self.calls = 0
         self.failures = 0
         self.latency = 0.0
-        self.answered_at = float("-inf")
+        self.last_response_at = float("-inf")
         self.permit_refused_until = 0.0
-        self._failed_in_row = 0
-        self._rests_until = 0.0
-        self._probing = False
-        self._slow_in_row = 0
+        self._consecutive_failures = 0
+        self._backoff_until = 0.0
+        self._is_probing = False
+        self._consecutive_slow = 0
         self._slow_until = 0.0
         self._report: TargetReport | None = None
         self._measured_at = float("-inf")
-        self._suspected_at = float("-inf")
+        self._suspected_cold_at = float("-inf")
 
-    def redeclare(self, declared: DeclaredTarget, instances: int) -> None:
-        """Follow a change of its declaration; what is known of it stays."""
+    def update_declaration(self, declared: DeclaredTarget, instances: int) -> None:
+        """Apply a changed declaration and keep the measured state."""
         self.declared = declared
         self.limit = self._make_limit(instances)
 
-    def share_among(self, instances: int) -> None:
-        """Follow a change of the number of entry instances."""
-        self.limit.share(self._even_share(instances))
+    def set_instance_count(self, instances: int) -> None:
+        """Set the number of entry instances that share the declared limit."""
+        self.limit.set_share(self._even_share(instances))
 
     def _make_limit(self, instances: int) -> Limit:
         policy = LIMIT_POLICIES.by_name[self._settings.policies.limit]
@@ -65,15 +79,15 @@
 
     @property
     def id(self) -> str:
-        """The target's id."""
+        """Id of the target."""
         return self.declared.id
 
     def apply_report(self, report: TargetReport, *, sent_at: float) -> None:
-        """Take a report unless a later one is known.
+        """Apply a load report unless a later one is known.
 
         Args:
-            report: The report with its age when it was sent.
-            sent_at: A time on this clock that is not after the sending.
+            report: The report, with its age at the time of sending.
+            sent_at: A time on this instance's clock, no later than the sending.
         """
         measured_at = sent_at - report.age
         if measured_at <= self._measured_at:
@@ -83,32 +97,32 @@
 
     @property
     def report(self) -> TargetReport | None:
-        """The latest report, with its age as of now; None once it is too old."""
+        """The latest report with its age as of now, or None once it is too old."""
         report = self._fresh_report()
         if report is None:
             return None
         return report._replace(age=now() - self._measured_at)
 
     def _fresh_report(self) -> TargetReport | None:
-        """The latest report as it came, which is cheaper to ask for often."""
+        """Return the latest report as received, which is cheaper than a copy."""
         if now() - self._measured_at > self._settings.timing.report_limit:
             return None
         return self._report
 
     def is_cold(self) -> bool:
-        """Tell whether the target must be treated as in cold start.
+        """Return whether the target must be treated as in cold start.
 
-        A warm target turns cold without a word and collapses under full load. So
-        only a fresh report makes it warm, and silence far longer than usual makes it
-        cold again until a report measured later says otherwise.
+        A warm target turns cold without notice and collapses under full load. Only a
+        fresh report therefore makes it warm, and a silence far longer than its usual
+        latency makes it cold again until a report that was measured later.
         """
         report = self._fresh_report()
         if report is None or report.cold:
             return True
-        return self._suspected_at >= self._measured_at
+        return self._suspected_cold_at >= self._measured_at
 
     def serves(self, model: str) -> bool:
-        """Tell whether it has a model loaded; an empty name asks for none."""
+        """Return whether the target has a model loaded; an empty name always counts."""
         if not model:
             return True
         report = self._fresh_report()
@@ -117,104 +131,133 @@
         return model in report.models
 
     def load(self) -> float:
-        """Share of the limit in use, by own calls and the latest report."""
+        """Return the fraction of the declared limit in use.
+
+        The larger of this instance's calls and the latest report counts.
+        """
         report = self._fresh_report()
         reported = report.in_flight if report else 0
         return max(self.in_flight, reported) / self.declared.limit
 
     def is_backing_off(self) -> bool:
-        """Tell whether it is set aside after failures; one probe at a time passes."""
-        if self._failed_in_row < _FAILURES_TO_OPEN:
+        """Return whether the target gets no calls after repeated failures.
+
+        Once the backoff is over, this is true only while a probe is in progress.
+        """
+        if self._consecutive_failures < _FAILURES_BEFORE_BACKOFF:
             return False
-        return now() < self._rests_until or self._probing
+        return now() < self._backoff_until or self._is_probing
 
     def is_slow(self) -> bool:
-        """Tell whether it is set aside for being far slower than its like."""
-        if not self._slow_in_row:
+        """Return whether the target is avoided because it is far slower than others.
+
+        Once the backoff is over, this is true only while a probe is in progress.
+        """
+        if not self._consecutive_slow:
             return False
-        return now() < self._slow_until or self._probing
+        return now() < self._slow_until or self._is_probing
 
-    def begin(self) -> None:
-        """Count a call that is about to be sent."""
+    def start_call(self) -> None:
+        """Record that a call was assigned to the target."""
         self.in_flight += 1
         self.calls += 1
-        is_failing = self._failed_in_row >= _FAILURES_TO_OPEN
-        self._probing = is_failing or self._slow_in_row > 0
+        is_failing = self._consecutive_failures >= _FAILURES_BEFORE_BACKOFF
+        self._is_probing = is_failing or self._consecutive_slow > 0
 
-    def record_first_byte(self, latency: float, usual: float) -> None:
-        """Note that it began to answer a call.
+    def record_first_byte(self, latency: float, typical_latency: float) -> None:
+        """Record the first byte of a response.
 
-        The time to the first byte shows waiting at the target; what follows it
-        depends on how much was asked.
+        The time to the first byte shows how long calls wait at the target; the rest of
+        a response depends on how much was requested.
 
         Args:
-            latency: Seconds since the sending.
-            usual: Seconds that targets of this kind usually take.
+            latency: Seconds from the assignment of the call to its first byte.
+            typical_latency: Seconds that targets of this kind usually take; 0.0 if
+                unknown.
         """
-        if not self._note_if_slow(latency, usual):
-            self._slow_in_row = 0
-        self._failed_in_row = 0
-        self.limit.finish(latency, self.in_flight)
+        if not self._record_if_slow(latency, typical_latency):
+            self._consecutive_slow = 0
+        self._consecutive_failures = 0
+        self.limit.record_success(latency, self.in_flight)
         if self.latency == 0.0:
             self.latency = latency
         self.latency += _LATENCY_WEIGHT * (latency - self.latency)
 
-    def finish(self) -> None:
-        """Count a call that was answered."""
-        self._end()
+    def finish_call(self) -> None:
+        """Record that a call was answered."""
+        self._end_call()
 
-    def fail(self, began_at: float, usual: float, *, timed_out: bool) -> None:
-        """Count a call that failed.
+    def fail_call(
+        self, started_at: float, typical_latency: float, *, timed_out: bool
+    ) -> None:
+        """Record that a call failed.
 
-        Under overload many calls run out of time at a target that works as fast as
-        it can. Setting it aside would take away capacity just when it is short, so
-        a timeout counts only if nothing was answered since the call began.
+        Under overload many calls time out at a target that works as fast as it can.
+        Backing off would remove capacity just when it is short, so a timeout counts
+        only if the target has sent no response data since the call started.
 
         Args:
-            began_at: When the call began.
-            usual: Seconds that targets of this kind usually take to answer.
-            timed_out: Whether it failed by running out of time.
+            started_at: When the call started.
+            typical_latency: Seconds that targets of this kind usually take; 0.0 if
+                unknown.
+            timed_out: Whether the call failed by a timeout.
         """
-        self._end()
-        self.limit.fail()
+        self._end_call()
+        self.limit.record_failure()
         if timed_out:
-            self._note_if_slow(now() - began_at, usual)
-        if timed_out and self.answered_at > began_at:
+            self._record_if_slow(now() - started_at, typical_latency)
+        if timed_out and self.last_response_at > started_at:
             return
         self.failures += 1
-        self._failed_in_row += 1
-        over = max(0, self._failed_in_row - _FAILURES_TO_OPEN)
-        rest = min(_LONGEST_REST, _FIRST_REST * 2.0 ** min(over, 8))
-        self._rests_until = now() + rest
-        if timed_out and now() - began_at > max(
-            _MIN_SUSPECT, _SUSPECT_FACTOR * self.latency
+        self._consecutive_failures += 1
+        excess = max(0, self._consecutive_failures - _FAILURES_BEFORE_BACKOFF)
+        backoff = min(_MAX_BACKOFF, _MIN_BACKOFF * 2.0 ** min(excess, 8))
+        self._backoff_until = now() + backoff
+        if timed_out and now() - started_at > max(
+            _MIN_SILENCE, _SILENCE_FACTOR * self.latency
         ):
-            self._suspected_at = now()
+            self._suspected_cold_at = now()
+
+    def abandon_call(self) -> None:
+        """Record the end of a call that neither succeeded nor failed.
+
+        The caller may have left, for example.
+        """
+        self._end_call()
 
-    def abandon(self) -> None:
-        """Count a call that was given up without blame, as when a caller left."""
-        self._end()
+    def _record_if_slow(self, latency: float, typical_latency: float) -> bool:
+        """Back off if the target is far slower than others of its kind.
 
-    def _note_if_slow(self, latency: float, usual: float) -> bool:
-        """Set it aside for a while if it is far slower than its like."""
-        if latency < max(_MIN_SLOW, _SLOW_FACTOR * usual) or usual == 0.0:
+        Returns:
+            Whether it is.
+        """
+        if (
+            latency < max(_MIN_SLOW_LATENCY, _SLOW_FACTOR * typical_latency)
+            or typical_latency == 0.0
+        ):
             return False
-        self._slow_in_row += 1
-        rest = min(_LONGEST_REST, _FIRST_REST * 2.0 ** min(self._slow_in_row, 8))
-        self._slow_until = now() + rest
+        self._consecutive_slow += 1
+        backoff = min(
+            _MAX_BACKOFF, _MIN_BACKOFF * 2.0 ** min(self._consecutive_slow, 8)
+        )
+        self._slow_until = now() + backoff
         return True
 
-    def _end(self) -> None:
+    def _end_call(self) -> None:
         self.in_flight -= 1
-        self._probing = False
+        self._is_probing = False
 
 
 class Targets:
-    """All declared targets, kept across declarations.
+    """All declared targets, kept across changes of the declaration.
 
     Args:
         settings: The daemon's settings.
-        views: Declares the targets and lists who is leaving.
+        views: The declaration and the instance list.
+
+    Attributes:
+        by_id: The targets by id.
+        by_kind: The targets by kind.
     """
 
     def __init__(self, settings: Settings, views: Views) -> None:
@@ -223,11 +266,11 @@
         self.by_id: dict[str, Target] = {}
         self.by_kind: dict[str, list[Target]] = {}
         self._returned_at_by_zone: dict[str, float] = {}
-        self._out_zones: set[str] = set()
+        self._zones_out: set[str] = set()
         views.subscribe(self.refresh)
 
     def refresh(self) -> None:
-        """Follow the declaration: add, change and forget targets."""
+        """Add, update and remove targets as the declaration says."""
         declaration = self._views.declaration
         entries = max(1, len(self._views.instances.entries()))
         kept: dict[str, Target] = {}
@@ -236,24 +279,24 @@
             if target is None or target.declared.address != declared.address:
                 target = Target(declared, self._settings, entries)
             elif target.declared != declared:
-                # A new object would forget its running calls and its report, and
-                # take a warm target for cold until the next one.
-                target.redeclare(declared, entries)
-            # The list often arrives after the declaration; without this every
-            # instance would start with the whole limit as its own.
-            target.share_among(entries)
+                # A new object would lose the calls in progress and the report, and a
+                # warm target would be treated as cold until the next report.
+                target.update_declaration(declared, entries)
+            # The instance list often arrives after the declaration. Without this each
+            # instance would keep the whole declared limit for itself.
+            target.set_instance_count(entries)
             kept[declared.id] = target
         self.by_id = kept
         self.by_kind = {}
         for target in kept.values():
             self.by_kind.setdefault(target.declared.kind, []).append(target)
-        self._follow_zones()
+        self._update_zones()
 
     def accepts_new_work(self, target: Target) -> bool:
-        """Tell whether operators and platform allow new work for a target.
+        """Return whether operators and the platform allow new work for a target.
 
-        Checked at the moment of choice, so a request that queued before a zone was
-        taken out or a target began to leave doesn't go there afterwards.
+        This is checked when a target is chosen, so that a call that was queued before a
+        zone was taken out or a target began to leave isn't sent there afterwards.
         """
         declaration = self._views.declaration
         if self.by_id.get(target.id) is not target:
@@ -263,21 +306,22 @@
         return not self._views.instances.is_leaving(target.id)
 
     def ramp_fraction(self, zone: str) -> float:
-        """Share of its room that a zone's targets get, 1.0 but after a return.
+        """Return the fraction of their limits that a zone's targets may use.
 
-        A zone that returns is the least loaded one and would get all new work at
-        once; its targets, idle meanwhile, may collapse and operators would see the
-        return fail. Growing its room over some seconds prevents that.
+        It is 1.0 except for some time after the zone's return to service. A zone that
+        returns is the least loaded one and would get all new work at once; its idle
+        targets might collapse and the return would fail. Raising their limits
+        gradually prevents that.
         """
         returned_at = self._returned_at_by_zone.get(zone)
         if returned_at is None:
             return 1.0
-        passed = (now() - returned_at) / self._settings.timing.return_ramp
-        return min(1.0, max(0.1, passed))
+        fraction = (now() - returned_at) / self._settings.timing.return_ramp
+        return min(1.0, max(0.1, fraction))
 
-    def _follow_zones(self) -> None:
+    def _update_zones(self) -> None:
         zones = self._views.declaration.zones
         out = {zone.name for zone in zones.values() if zone.state == "out"}
-        for zone in self._out_zones - out:
+        for zone in self._zones_out - out:
             self._returned_at_by_zone[zone] = now()
-        self._out_zones = out
+        self._zones_out = out
--- a/packages/daemon/bergamotsaddle_daemon/tickets.py
+++ b/packages/daemon/bergamotsaddle_daemon/tickets.py
@@ -1,6 +1,6 @@
 """Runs requests that must not be repeated, each under a ticket.
 
-The steps are those of ``model/tickets.py``, named in the comments.
+The protocol is modelled in ``model/tickets.py``; docstrings name its steps.
 """
 
 import hashlib
@@ -44,30 +44,30 @@
 from bergamotsaddle_daemon.settings import Settings
 from bergamotsaddle_daemon.witness import Witness
 
-_RECORD_TRIES = 5
-_RECORD_PAUSE = 0.2
+_MAX_RECORD_ATTEMPTS = 5
+_RECORD_RETRY_DELAY = 0.2
 
-MayStart = Callable[[], None]
-Send = Callable[[ServiceRequest, str, MayStart], Outcome]
+CheckMayStart = Callable[[], None]
+Send = Callable[[ServiceRequest, str, CheckMayStart], Outcome]
 
 
-class _Run:
-    """One ticket's request at the instance that runs it."""
+class _TicketRun:
+    """The request of one ticket at the instance that runs it."""
 
     def __init__(self, ticket: Ticket, digest: bytes) -> None:
-        self.began_at = now()
+        self.started_at = now()
         self.ticket = ticket
         self.digest = digest
         self.outcome: Outcome | None = None
-        self._ended = Event()
+        self._finished = Event()
 
-    def end(self, outcome: Outcome) -> None:
+    def finish(self, outcome: Outcome) -> None:
         self.outcome = outcome
-        self._ended.send()
+        self._finished.send()
 
     def wait(self, seconds: float) -> Outcome:
         if self.outcome is None:
-            self._ended.wait(timeout=max(0.0, seconds))
+            self._finished.wait(timeout=max(0.0, seconds))
         if self.outcome is None:
             return Outcome(UNKNOWN, detail="still running; ask again with this ticket")
         return self.outcome
@@ -80,9 +80,9 @@
         settings: The daemon's settings.
         incarnation: Random name of this process.
         peers: The other instances.
-        witness: This instance's memory for others.
+        witness: Remembers tickets for which this instance is the witness.
         decisions: The decision log.
-        send: Sends a request to a target at most once; calls its last argument
+        send: Sends a request to a target at most once; it calls its last argument
             right before the first byte.
     """
 
@@ -103,12 +103,16 @@
         self._witness = witness
         self._decisions = decisions
         self._send = send
-        self._run_by_nonce: OrderedDict[str, _Run] = OrderedDict()
+        self._run_by_nonce: OrderedDict[str, _TicketRun] = OrderedDict()
         self._unsettled = 0
         self._closed = False
 
     def issue(self, team: str, kind: str) -> tuple[str, Ticket]:
-        """Make a ticket; nothing is kept for it until it is used."""
+        """Issue a ticket; no state is kept for it until it is used.
+
+        Returns:
+            The ticket as the caller gets it, and its contents.
+        """
         nonce = make_nonce()
         witness = self._peers.pick_witness(nonce)
         ticket = Ticket(
@@ -125,10 +129,10 @@
         return seal_ticket(ticket, self._settings.daemon.peer_key), ticket
 
     def verify(self, text: str, team: str, kind: str) -> Ticket:
-        """Read a caller's ticket.
+        """Verify a caller's ticket and return its contents.
 
         Raises:
-            RequestError: If it isn't one, or is for another team or kind.
+            RequestError: If it is invalid or was issued for another team or kind.
         """
         ticket = open_ticket(text, self._settings.daemon.peer_key)
         if (ticket.team, ticket.kind) != (team, kind):
@@ -137,29 +141,32 @@
         return ticket
 
     def run(self, ticket: Ticket, request: ServiceRequest) -> Outcome:
-        """Have a ticket's request run, wherever it may run, or tell its outcome."""
+        """Run a ticket's request where that is allowed, or return its outcome.
+
+        The request runs here, at the ticket's issuer or at its witness.
+        """
         deadline = now() + request.remaining
         if self._may_run(ticket):
             return self._run_here(ticket, request)
         outcome = self._forward(ticket.issuer, ticket, request)
         if outcome.state != ELSEWHERE:
             return outcome
-        left = request._replace(remaining=deadline - now())
-        return self._settle(ticket, left)
+        remaining_request = request._replace(remaining=deadline - now())
+        return self._settle_with_witness(ticket, remaining_request)
 
     def query_outcome(self, ticket: Ticket) -> Outcome:
-        """Tell what became of a ticket without starting or giving it up."""
+        """Return the outcome of a ticket without starting or cancelling it."""
         query = OutcomeQuery(ticket)
         outcome = self.handle_outcome_query(query)
         for instance in (ticket.issuer, ticket.witness):
             if outcome.state == ELSEWHERE and instance not in ("", self._own_id):
-                outcome = self._ask(instance, query, self._timing.peer_call)
+                outcome = self._query(instance, query, self._timing.peer_call)
         if outcome.state == ELSEWHERE:
             return Outcome(UNKNOWN, detail="neither issuer nor witness can be reached")
         return outcome
 
     def handle_outcome_query(self, message: OutcomeQuery) -> Outcome:
-        """Answer a peer's look."""
+        """Return what this instance knows about the outcome of a ticket."""
         ticket = message.ticket
         run = self._run_by_nonce.get(ticket.nonce)
         if run is not None:
@@ -171,7 +178,11 @@
         return self._refuse_new(ticket) or Outcome(UNUSED, detail="not used yet")
 
     def handle_run_ticket(self, message: RunTicket) -> Outcome:
-        """Answer a peer that forwards a request."""
+        """Handle a request that a peer forwarded.
+
+        A witness that may not run the request returns the recorded outcome, or cancels
+        the ticket if it was not started.
+        """
         ticket = message.ticket
         if self._may_run(ticket):
             return self._run_here(ticket, message.request)
@@ -180,18 +191,18 @@
         return Outcome(ELSEWHERE)
 
     def count_unsettled(self) -> int:
-        """Number of requests whose outcome is not yet known here and at the witness."""
+        """Return the number of requests not yet settled here and at the witness."""
         return self._unsettled
 
     def hand_over(self) -> None:
-        """Start nothing any more and leave unstarted tickets to their witnesses."""
+        """Stop starting requests and hand unstarted tickets over to their witnesses."""
         self._closed = True
         for peer_id in list(self._peers.by_id):
             if self._peers.is_alive(peer_id):
-                message = TicketHandover(self._incarnation, self._used_with(peer_id))
-                self._ask(peer_id, message, self._timing.peer_call)
+                message = TicketHandover(self._incarnation, self._used_tickets(peer_id))
+                self._query(peer_id, message, self._timing.peer_call)
 
-    def _used_with(self, witness: str) -> tuple[Ticket, ...]:
+    def _used_tickets(self, witness: str) -> tuple[Ticket, ...]:
         return tuple(
             run.ticket
             for run in self._run_by_nonce.values()
@@ -206,17 +217,17 @@
             return True
         if ticket.nonce in self._run_by_nonce:
             return True
-        return self._witness.has_inherited(ticket)
+        return self._witness.may_run_inherited(ticket)
 
     def _run_here(self, ticket: Ticket, request: ServiceRequest) -> Outcome:
-        self._forget_old()
+        self._expire_runs()
         digest = hashlib.blake2b(request.path.encode() + b"\0" + request.body).digest()
         run = self._run_by_nonce.get(ticket.nonce)
         if run is None:
             refusal = self._refuse_new(ticket)
             if refusal is not None:
                 return refusal
-            run = self._run_by_nonce[ticket.nonce] = _Run(ticket, digest)
+            run = self._run_by_nonce[ticket.nonce] = _TicketRun(ticket, digest)
             self._unsettled += 1
             eventlet.spawn_n(self._execute, ticket, request, run)
         if run.digest != digest:
@@ -232,22 +243,25 @@
         if age >= self._timing.ticket_lifetime:
             return Outcome(NOT_RUN, detail="the ticket has expired; take a new one")
         if len(self._run_by_nonce) >= self._settings.limits.tickets:
-            # Not "not run": that is final, and this ticket may still be used.
+            # The outcome is not NOT_RUN: that would be final, and this ticket may still
+            # be used.
             detail = "too many tickets are in use here; ask again with this one"
             return Outcome(BUSY, detail=detail)
         return None
 
-    def _execute(self, ticket: Ticket, request: ServiceRequest, run: _Run) -> None:
+    def _execute(
+        self, ticket: Ticket, request: ServiceRequest, run: _TicketRun
+    ) -> None:
         start_by = self._start_by(ticket, request)
         if ticket.incarnation != self._incarnation:
-            self._witness.begin_inherited(ticket)
+            self._witness.record_inherited_start(ticket)
         outcome = self._record_start(ticket)
         if outcome is None:
 
             def check_may_start() -> None:
-                # The process may have been paused since the record. By now the
-                # caller may have been told the outcome elsewhere and may have
-                # asked anew; a late start would then be a second one.
+                # The process may have been paused since the start was recorded. By now
+                # the caller may have got an outcome from another instance and may have
+                # repeated the request; a late start would run it a second time.
                 if now() >= start_by:
                     detail = "its time to start ran out"
                     raise RequestError(ErrorKind.NOT_RUN, detail)
@@ -258,9 +272,9 @@
                 outcome = Outcome(NOT_RUN, detail=error.detail)
             except Exception as error:
                 outcome = Outcome(UNKNOWN, detail=repr(error))
-        run.end(outcome)
+        run.finish(outcome)
         self._decisions.record(request.id, "ticket", outcome.state, outcome.detail)
-        self._report(ticket, outcome)
+        self._report_outcome(ticket, outcome)
         self._unsettled -= 1
 
     def _start_by(self, ticket: Ticket, request: ServiceRequest) -> float:
@@ -270,11 +284,14 @@
         return min(deadline, ticket.issued_at + self._timing.ticket_lifetime)
 
     def _record_start(self, ticket: Ticket) -> Outcome | None:
-        """Have the witness remember the start before the first byte leaves.
+        """Record the start at the witness before the first byte is sent.
+
+        If this instance were killed after sending, no other instance could tell whether
+        the request ran; the caller would get "not run" and book twice. Nothing is
+        therefore sent without the witness's confirmation. Model: ``ask_witness``.
 
-        Were this instance killed after sending, nobody could tell whether the
-        request ran; the caller would hear "not run" and book twice. So without
-        the witness's word nothing is sent. Model: ``ask_witness``.
+        Returns:
+            The outcome if the request must not be sent, else None.
         """
         if ticket.witness == NO_WITNESS or ticket.incarnation != self._incarnation:
             return None
@@ -290,18 +307,18 @@
             return Outcome(NOT_RUN, detail=detail)
         return None
 
-    def _report(self, ticket: Ticket, outcome: Outcome) -> None:
+    def _report_outcome(self, ticket: Ticket, outcome: Outcome) -> None:
         message = OutcomeRecord(ticket, outcome)
         if ticket.incarnation != self._incarnation:
             self._witness.record_outcome(message)
             return
         if ticket.witness == NO_WITNESS:
             return
-        for _ in range(_RECORD_TRIES):
-            answer = self._ask(ticket.witness, message, self._timing.peer_call)
+        for _ in range(_MAX_RECORD_ATTEMPTS):
+            answer = self._query(ticket.witness, message, self._timing.peer_call)
             if answer != Outcome(ELSEWHERE):
                 return
-            eventlet.sleep(_RECORD_PAUSE)
+            eventlet.sleep(_RECORD_RETRY_DELAY)
 
     def _forward(
         self, instance: str, ticket: Ticket, request: ServiceRequest
@@ -313,30 +330,33 @@
             return Outcome(ELSEWHERE)
         forwarded = RunTicket(ticket, request._replace(remaining=limit))
         self._decisions.record(request.id, "forward", instance, "holds the ticket", 1)
-        return self._ask(instance, forwarded, limit)
+        return self._query(instance, forwarded, limit)
 
-    def _settle(self, ticket: Ticket, request: ServiceRequest) -> Outcome:
-        """Ask the witness, since the issuer can't tell."""
+    def _settle_with_witness(self, ticket: Ticket, request: ServiceRequest) -> Outcome:
+        """Let the witness decide the outcome when the issuer does not know it."""
         if ticket.witness == self._own_id:
             return self._witness.cancel_unstarted(ticket)
         if ticket.witness == NO_WITNESS:
             return Outcome(UNKNOWN, detail="its issuer is gone and it has no witness")
         limit = max(self._timing.peer_call, request.remaining)
         message = RunTicket(ticket, request._replace(remaining=limit))
-        outcome = self._ask(ticket.witness, message, limit)
+        outcome = self._query(ticket.witness, message, limit)
         if outcome.state == ELSEWHERE:
             return Outcome(UNKNOWN, detail="issuer and witness can't be reached")
         return outcome
 
-    def _ask(self, instance: str, message: object, limit: float) -> Outcome:
+    def _query(self, instance: str, message: object, limit: float) -> Outcome:
         try:
             return self._peers.call(instance, message, limit)
         except PeerUnreachableError:
             return Outcome(ELSEWHERE)
 
-    def _forget_old(self) -> None:
+    def _expire_runs(self) -> None:
         while self._run_by_nonce:
             nonce, run = next(iter(self._run_by_nonce.items()))
-            if run.outcome is None or now() < run.began_at + self._timing.ticket_memory:
+            if (
+                run.outcome is None
+                or now() < run.started_at + self._timing.ticket_memory
+            ):
                 return
             del self._run_by_nonce[nonce]
--- a/packages/daemon/bergamotsaddle_daemon/witness.py
+++ b/packages/daemon/bergamotsaddle_daemon/witness.py
@@ -1,6 +1,6 @@
-"""Remembers for other instances what became of their tickets.
+"""Keeps the outcomes of other instances' tickets.
 
-The steps are those of ``model/tickets.py``, named in the comments.
+The protocol is modelled in ``model/tickets.py``; docstrings name its steps.
 """
 
 from collections import OrderedDict
@@ -19,13 +19,13 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.settings import Settings
 
-_MAX_INHERITED = 1_000
+_MAX_INHERITED_ISSUERS = 1_000
 _STARTED = Outcome(UNKNOWN, detail="started, no outcome is known")
-_SEALED = Outcome(NOT_RUN, detail="not started and given up; take a new ticket")
+_CANCELLED = Outcome(NOT_RUN, detail="not started and given up; take a new ticket")
 
 
 class Witness:
-    """Remembers for other instances which tickets were started and how they ended.
+    """Records for other instances which tickets were started and their outcomes.
 
     Args:
         settings: The daemon's settings.
@@ -33,8 +33,8 @@
     """
 
     def __init__(self, settings: Settings, incarnation: str) -> None:
-        self._memory = settings.timing.ticket_memory
-        self._bound = settings.limits.tickets
+        self._retention_seconds = settings.timing.ticket_memory
+        self._max_records = settings.limits.tickets
         self._incarnation = incarnation
         self._records: OrderedDict[str, tuple[float, Outcome]] = OrderedDict()
         self._inherited: OrderedDict[str, bool] = OrderedDict()
@@ -43,89 +43,92 @@
         return len(self._records)
 
     def record_start(self, message: StartRecord) -> StartAnswer:
-        """Remember a start, unless the ticket was given up. Model: ``record``."""
+        """Record a start unless the ticket was cancelled. Model: ``record``."""
         ticket = message.ticket
-        self._forget_old()
+        self._expire_records()
         if ticket.incarnation in self._inherited:
             return StartAnswer(False)
-        known = self._records.get(ticket.nonce)
-        if known is not None:
-            return StartAnswer(known[1].state == UNKNOWN)
-        if not self._remembers(ticket) or len(self._records) >= self._bound:
+        record = self._records.get(ticket.nonce)
+        if record is not None:
+            return StartAnswer(record[1].state == UNKNOWN)
+        if not self._is_retained(ticket) or len(self._records) >= self._max_records:
             return StartAnswer(False)
-        self._put(ticket, _STARTED)
+        self._add_record(ticket, _STARTED)
         return StartAnswer(True)
 
     def record_outcome(self, message: OutcomeRecord) -> Done:
-        """Remember how a started request ended. Model: ``report``."""
-        known = self._records.get(message.ticket.nonce)
-        if known is not None and known[1].state == UNKNOWN:
-            self._records[message.ticket.nonce] = (known[0], message.outcome)
+        """Record the outcome of a started request. Model: ``report``."""
+        record = self._records.get(message.ticket.nonce)
+        if record is not None and record[1].state == UNKNOWN:
+            self._records[message.ticket.nonce] = (record[0], message.outcome)
         return Done()
 
     def apply_handover(self, message: TicketHandover) -> Done:
         """Take over the unused tickets of an issuer that stops. Model: ``inherit``.
 
-        A used one may have been refused before its start was recorded here. Its
-        caller was told "not run", so it must not run here either.
+        A used ticket may have been rejected before its start was recorded here. Its
+        caller got the outcome "not run", so it must not run here either.
         """
         for ticket in message.used:
-            if ticket.nonce not in self._records and self._remembers(ticket):
-                self._put(ticket, _SEALED)
+            if ticket.nonce not in self._records and self._is_retained(ticket):
+                self._add_record(ticket, _CANCELLED)
         self._inherited[message.incarnation] = True
-        if len(self._inherited) > _MAX_INHERITED:
+        if len(self._inherited) > _MAX_INHERITED_ISSUERS:
             self._inherited.popitem(last=False)
         return Done()
 
-    def has_inherited(self, ticket: Ticket) -> bool:
-        """Tell whether this process may run an unstarted ticket. Model: ``inherit``."""
+    def may_run_inherited(self, ticket: Ticket) -> bool:
+        """Return whether this process may run an inherited ticket. Model: ``inherit``.
+
+        It may as long as the ticket was not started or cancelled before.
+        """
         if ticket.incarnation not in self._inherited:
             return False
-        return ticket.nonce not in self._records and self._remembers(ticket)
+        return ticket.nonce not in self._records and self._is_retained(ticket)
 
-    def begin_inherited(self, ticket: Ticket) -> None:
-        """Remember that an inherited ticket is being run here."""
-        self._put(ticket, _STARTED)
+    def record_inherited_start(self, ticket: Ticket) -> None:
+        """Record that an inherited ticket is being run by this instance."""
+        self._add_record(ticket, _STARTED)
 
     def query_outcome(self, ticket: Ticket) -> Outcome:
-        """Tell what is remembered of a ticket without changing it."""
-        known = self._records.get(ticket.nonce)
-        if known is not None:
-            return known[1]
+        """Return the recorded outcome of a ticket without changing it."""
+        record = self._records.get(ticket.nonce)
+        if record is not None:
+            return record[1]
         return Outcome(UNKNOWN, detail="the witness has no record of it")
 
     def cancel_unstarted(self, ticket: Ticket) -> Outcome:
-        """Tell what became of a ticket; one that wasn't started never will be.
+        """Return a ticket's outcome, and cancel it for good if it was not started.
 
-        Without the seal the issuer, slow or paused, could still start the request
-        after its caller was told that it did not run. Model: ``seal``.
+        Without the cancellation a slow or paused issuer could still start the request
+        after its caller got the outcome "not run". Model: ``seal``.
         """
-        self._forget_old()
-        known = self._records.get(ticket.nonce)
-        if known is not None:
-            return known[1]
-        if not self._remembers(ticket) or len(self._records) >= self._bound:
+        self._expire_records()
+        record = self._records.get(ticket.nonce)
+        if record is not None:
+            return record[1]
+        if not self._is_retained(ticket) or len(self._records) >= self._max_records:
             return Outcome(UNKNOWN, detail="the witness does not remember that far")
-        self._put(ticket, _SEALED)
-        return _SEALED
+        self._add_record(ticket, _CANCELLED)
+        return _CANCELLED
 
-    def _remembers(self, ticket: Ticket) -> bool:
-        """Tell whether a start of this ticket could not have been forgotten.
+    def _is_retained(self, ticket: Ticket) -> bool:
+        """Return whether a start of this ticket would still be on record.
 
-        Records last for the memory's length, and none of this ticket can be older
-        than the mark in it, which is this process's own clock. So until the mark
-        plus that length, no record means no start.
+        Records are kept for a fixed time. No record of this ticket can be older than
+        the mark in the ticket, which was taken from this process's clock. Until the
+        mark plus that time, a missing record therefore means that it was not started.
         """
         if ticket.witness_incarnation != self._incarnation:
             return False
-        return now() < ticket.witness_mark + self._memory
+        return now() < ticket.witness_mark + self._retention_seconds
 
-    def _put(self, ticket: Ticket, outcome: Outcome) -> None:
+    def _add_record(self, ticket: Ticket, outcome: Outcome) -> None:
         self._records[ticket.nonce] = (now(), outcome)
 
-    def _forget_old(self) -> None:
+    def _expire_records(self) -> None:
         while self._records:
             nonce, (recorded_at, _) = next(iter(self._records.items()))
-            if now() < recorded_at + self._memory:
+            if now() < recorded_at + self._retention_seconds:
                 return
             del self._records[nonce]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -170,7 +170,7 @@
         advance(0.5)
         holders = [e.id for e in self.engines if e.id != keeper]
         may_drop = [
-            home.placement._may_drop(home.targets.by_id[holder], "chat")
+            home.placement._may_unload(home.targets.by_id[holder], "chat")
             for holder in sorted(holders)
         ]
         self.assertEqual(may_drop, [False, True])
@@ -184,14 +184,14 @@
 
     def test_fencing_number_grows_with_list_and_declaration(self):
         home = self.ready_home()
-        before = home.placement._fencing()
+        before = home.placement._fencing_number()
         self.world.publish(2)
         advance(2.0)
-        between = home.placement._fencing()
+        between = home.placement._fencing_number()
         self.world.publish_list()
         advance(2.0)
         self.assertLess(before, between)
-        self.assertLess(between, home.placement._fencing())
+        self.assertLess(between, home.placement._fencing_number())
 
     def test_requests_go_where_the_model_is_loaded(self):
         self.engines[0].models = ["chat"]
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -13,7 +13,7 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.costs import FIRST, HEDGE, RETRY
 from bergamotsaddle_daemon.fair_queue import FairQueue, Waiter
-from bergamotsaddle_daemon.limits import Adaptive
+from bergamotsaddle_daemon.limits import AdaptiveLimit
 from bergamotsaddle_daemon.peers import _ring_steps
 from bergamotsaddle_daemon.pools import Slot
 from bergamotsaddle_daemon.request import Request
@@ -90,26 +90,26 @@
     """How limits follow latency."""
 
     def test_grows_while_fast_and_full(self):
-        limit = Adaptive(2.0, 16.0)
+        limit = AdaptiveLimit(2.0, 16.0)
         for _ in range(100):
-            limit.finish(0.1, in_flight=16)
+            limit.record_success(0.1, in_flight=16)
         self.assertGreater(limit.value, 10.0)
 
     def test_stays_when_not_used(self):
-        limit = Adaptive(4.0, 16.0)
+        limit = AdaptiveLimit(4.0, 16.0)
         for _ in range(100):
-            limit.finish(0.1, in_flight=1)
+            limit.record_success(0.1, in_flight=1)
         self.assertEqual(limit.value, 4.0)
 
     def test_shrinks_when_slow_but_not_at_once_to_nothing(self):
-        limit = Adaptive(8.0, 16.0)
-        limit.finish(0.1, in_flight=8)
+        limit = AdaptiveLimit(8.0, 16.0)
+        limit.record_success(0.1, in_flight=8)
         for _ in range(10):
-            limit.finish(1.0, in_flight=8)
+            limit.record_success(1.0, in_flight=8)
         self.assertGreater(limit.value, 6.0)
         for _ in range(40):
             advance(0.3)
-            limit.finish(1.0, in_flight=1)
+            limit.record_success(1.0, in_flight=1)
         self.assertGreaterEqual(limit.value, 1.0)
         self.assertLess(limit.value, 8.0)
 
@@ -125,47 +125,47 @@
         began = now()
         advance(1.0)
         for _ in range(failures):
-            target.begin()
+            target.start_call()
             if answered_meanwhile:
-                target.answered_at = now()
-            target.fail(began, 0.0, timed_out=True)
+                target.last_response_at = now()
+            target.fail_call(began, 0.0, timed_out=True)
         self.assertEqual(target.is_backing_off(), is_backing_off)
 
     def test_one_probe_at_a_time(self):
         target = make_target("x")
         for _ in range(3):
-            target.begin()
-            target.fail(now(), 0.0, timed_out=False)
+            target.start_call()
+            target.fail_call(now(), 0.0, timed_out=False)
         self.assertTrue(target.is_backing_off())
         advance(1.0)
         self.assertFalse(target.is_backing_off())
-        target.begin()
+        target.start_call()
         self.assertTrue(target.is_backing_off())
         target.record_first_byte(0.1, 0.1)
-        target.finish()
+        target.finish_call()
         self.assertFalse(target.is_backing_off())
 
     def test_far_slower_than_its_like_is_set_aside(self):
         target = make_target("x")
-        target.begin()
-        target.record_first_byte(0.9, usual=0.1)
-        target.finish()
+        target.start_call()
+        target.record_first_byte(0.9, typical_latency=0.1)
+        target.finish_call()
         self.assertTrue(target.is_slow())
         advance(1.1)
         self.assertFalse(target.is_slow())
-        target.begin()
+        target.start_call()
         self.assertTrue(target.is_slow())
-        target.record_first_byte(0.12, usual=0.1)
-        target.finish()
+        target.record_first_byte(0.12, typical_latency=0.1)
+        target.finish_call()
         self.assertFalse(target.is_slow())
 
     def test_long_silence_makes_it_cold_until_a_later_report(self):
         target = make_target("x")
-        target.begin()
+        target.start_call()
         began = now()
         advance(2.0)
         target.apply_report(TargetReport("x", False, 0, 0.5), sent_at=now())
-        target.fail(began, 0.0, timed_out=True)
+        target.fail_call(began, 0.0, timed_out=True)
         self.assertTrue(target.is_cold())
         advance(0.5)
         target.apply_report(TargetReport("x", False, 0, 0.0), sent_at=now())
@@ -179,8 +179,8 @@
         served = []
         for _ in range(count):
             entry = queue.pop()
-            queue.serve(entry)
-            served.append(entry.waiter.need)
+            queue.advance_to(entry)
+            served.append(entry.waiter.requirements)
         return served
 
     def test_flood_of_one_team_is_passed_by_others(self):
@@ -223,15 +223,15 @@
         taken = 0
         for _ in range(1_000):
             budget.count_call("crews", "encode")
-            taken += budget.take("crews", "encode")
+            taken += budget.try_spend("crews", "encode")
         self.assertLessEqual(taken, 111)
         self.assertGreaterEqual(taken, 90)
 
     def test_teams_have_their_own(self):
         budget = RetryBudget(10)
-        while budget.take("flood", "encode"):
+        while budget.try_spend("flood", "encode"):
             continue
-        self.assertTrue(budget.take("small", "encode"))
+        self.assertTrue(budget.try_spend("small", "encode"))
 
 
 class NeighbourTest(unittest.TestCase):
@@ -347,11 +347,13 @@
 
     def test_attempt_limit_leaves_time_for_another(self):
         times = StageLatencies()
-        self.assertEqual(times.attempt_limit("p", "encode", 2.0), 1.0)
+        self.assertEqual(times.attempt_timeout("p", "encode", 2.0), 1.0)
         for _ in range(50):
             times.record("p", "encode", 0.1)
-        self.assertAlmostEqual(times.attempt_limit("p", "encode", 2.0), 0.5, delta=0.05)
-        self.assertEqual(times.attempt_limit("p", "encode", 0.2), 0.2)
+        self.assertAlmostEqual(
+            times.attempt_timeout("p", "encode", 2.0), 0.5, delta=0.05
+        )
+        self.assertEqual(times.attempt_timeout("p", "encode", 0.2), 0.2)
 
     def test_waiting_calls_are_served(self):
         for target in self.world.targets.values():
@@ -380,10 +382,12 @@
         waiting = eventlet.spawn(pools.acquire, wanted)
         advance(0.01)
         pool = pools._pool(wanted)
-        waiter = next(e.waiter for e in pool.queue._heap if e.waiter.need is wanted)
+        waiter = next(
+            e.waiter for e in pool.queue._heap if e.waiter.requirements is wanted
+        )
         target = self.daemon.targets.by_id["encode-a"]
         before = target.in_flight
-        waiter.decide(Slot(pools, pool, target, None))
+        waiter.resolve(Slot(pools, pool, target, None))
         waiting.kill()
         self.assertEqual(target.in_flight, before)
 
@@ -391,11 +395,11 @@
         # Only plain calls refill the budget. Streams that did not count would use it
         # up once and never again be tried elsewhere.
         budget = self.daemon.callers._stages._retries
-        while budget.take("crews", "generate"):
+        while budget.try_spend("crews", "generate"):
             continue
         request = Request(self.daemon.views.declaration.teams["crews"], "plan", 4, 5)
         stream = TokenStream(request, GenerationParams("m", "p", 1))
         stage = Stage("generate", "m", "/v1/completions", b"")
         for _ in range(20):
             run_green(lambda: list(self.daemon.callers._relay.run(stream, stage)))
-        self.assertTrue(budget.take("crews", "generate"))
+        self.assertTrue(budget.try_spend("crews", "generate"))
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -242,7 +242,7 @@
         # caller, who books anew, and the ticket could still run afterwards.
         runs = self.issuer.tickets._run_by_nonce
         runs.update({f"other{n}": object() for n in range(20_000)})
-        self.issuer.tickets._forget_old = lambda: None
+        self.issuer.tickets._expire_runs = lambda: None
         self.assertEqual(self.ask(self.issuer).state, "busy")
         runs.clear()
         self.assertEqual(self.ask(self.issuer).state, FINISHED)
