--- a/packages/daemon/bergamotsaddle_daemon/targets.py
+++ b/packages/daemon/bergamotsaddle_daemon/targets.py
@@ -21,8 +21,9 @@
     """One target: its declaration, its latest report and this instance's measurements.
 
     A target that fails several times in a row gets no calls during a backoff, which
-    doubles with each further failure. The same holds for a target that is far slower
-    than others of its kind. After the backoff one call at a time probes the target.
+    doubles with each further failure up to a maximum. A target far slower than others
+    of its kind is avoided in the same way, unless all of them are slow. After the
+    backoff one call at a time probes the target.
 
     Args:
         declared: The target's declaration.
@@ -229,7 +230,7 @@
         """Back off if the target is far slower than others of its kind.
 
         Returns:
-            Whether it is.
+            Whether the target is that slow.
         """
         if (
             latency < max(_MIN_SLOW_LATENCY, _SLOW_FACTOR * typical_latency)
