--- a/packages/daemon/bergamotsaddle_daemon/_deferred.py
+++ b/packages/daemon/bergamotsaddle_daemon/_deferred.py
@@ -1,4 +1,4 @@
-"""Modules whose code is executed only when something of them is used."""
+"""Defers the execution of modules until one of their attributes is used."""
 
 import sys
 from importlib.util import find_spec, module_from_spec
@@ -6,14 +6,15 @@
 
 
 def defer(name: str) -> None:
-    """Have a module executed at the first use of one of its attributes.
+    """Defer the execution of a module until the first use of one of its attributes.
 
-    Libraries import modules that only some of their users need; executing those takes
-    a starting process time in which its callers are turned away. The loader of the
-    standard library does not help, since a second import already counts as a use.
+    Libraries import modules that only some of their users need. Executing these would
+    delay the start of a process, which rejects callers until it is ready. The lazy
+    loader of the standard library does not help, since a second import already counts
+    as a use.
 
     Args:
-        name: Name of the module; one that is loaded already stays as it is.
+        name: Name of the module; a loaded module stays unchanged.
 
     Raises:
         ModuleNotFoundError: If there is no such module.
--- a/packages/daemon/bergamotsaddle_daemon/_green.py
+++ b/packages/daemon/bergamotsaddle_daemon/_green.py
@@ -1,4 +1,4 @@
-"""Makes the standard library green; to be imported before anything else."""
+"""Patches the standard library for eventlet; import it before any other module."""
 
 import os
 import warnings
@@ -6,16 +6,16 @@
 from bergamotsaddle_daemon._deferred import defer
 
 # eventlet warns at import that it is in bugfix mode upstream, which docs/DESIGN.md
-# deals with; on every start of a command the warning would hide real messages.
+# discusses. On every start of a command the warning would hide real messages.
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 
-# gRPC tells on standard error of every connection that a stopping peer closes.
+# gRPC logs every connection that a stopping peer closes to standard error.
 os.environ.setdefault("GRPC_VERBOSITY", "ERROR")
 
-# Only eventlet's hub on top of asyncio needs it.
+# Only eventlet's asyncio hub needs this module.
 defer("asyncio")
 
 import eventlet  # noqa: E402
 
-# Threads stay native, since gRPC runs on some of its own. Daemons start no processes.
+# Threads stay native because gRPC starts its own. Daemons start no processes.
 eventlet.monkey_patch(os=True, select=True, socket=True, time=True)
--- a/packages/daemon/bergamotsaddle_daemon/_response_body.py
+++ b/packages/daemon/bergamotsaddle_daemon/_response_body.py
@@ -1,11 +1,11 @@
-"""A response body that tells when the server is done with it."""
+"""A response body that calls a function when the server closes it."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
 
 class CallOnce:
-    """Calls a function the first time only."""
+    """Calls a function the first time it is called, then does nothing."""
 
     def __init__(self, function: Callable[[], None]) -> None:
         self._function: Callable[[], None] | None = function
@@ -17,20 +17,25 @@
 
 
 class ResponseBody:
-    """A response body that tells when the server is done with it."""
+    """A response body that calls a function when the server closes it.
 
-    def __init__(self, body: Iterable[bytes], ended: Callable[[], None]) -> None:
+    Args:
+        body: The chunks of the body.
+        on_close: Called when the body is closed.
+    """
+
+    def __init__(self, body: Iterable[bytes], on_close: Callable[[], None]) -> None:
         self._body = body
-        self._ended = ended
+        self._on_close = on_close
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self._body)
 
     def close(self) -> None:
-        """End the request; the server calls this whatever happened."""
+        """Close the body; the server calls this also after errors."""
         close: Any = getattr(self._body, "close", None)
         try:
             if close is not None:
                 close()
         finally:
-            self._ended()
+            self._on_close()
--- a/packages/daemon/bergamotsaddle_daemon/app.py
+++ b/packages/daemon/bergamotsaddle_daemon/app.py
@@ -24,7 +24,7 @@
     arguments = [argument("settings", "INI file with the daemon's settings.")]
 
     def handle(self) -> int:
-        """Read the settings; returns 2 if they are invalid."""
+        """Read the settings; return 2 if they are invalid."""
         path = Path(self.argument("settings"))
         try:
             settings = parse_settings(path.read_text(), name=str(path))
@@ -35,10 +35,10 @@
             for fault in error.faults:
                 self.line_error(str(fault))
             return _EXIT_INVALID
-        return self.go_on(settings)
+        return self.handle_settings(settings)
 
-    def go_on(self, settings: Settings) -> int:
-        """Do the command's own part with valid settings."""
+    def handle_settings(self, settings: Settings) -> int:
+        """Run the command with valid settings and return its exit code."""
         raise NotImplementedError
 
 
@@ -48,8 +48,8 @@
     name = "run"
     description = "Runs the daemon of an entry instance in the foreground."
 
-    def go_on(self, settings: Settings) -> int:
-        """Run until told to stop; returns 0 after a graceful stop."""
+    def handle_settings(self, settings: Settings) -> int:
+        """Run until a signal stops the daemon; return 0 after a graceful stop."""
         Server(settings).run()
         return 0
 
@@ -60,14 +60,14 @@
     name = "check"
     description = "Checks the settings and reports every fault at once."
 
-    def go_on(self, settings: Settings) -> int:
-        """Say that all is well."""
+    def handle_settings(self, settings: Settings) -> int:
+        """Report that the settings are valid."""
         self.line(f"{self.argument('settings')}: valid, {settings.daemon.id}")
         return 0
 
 
 def main() -> None:
-    """Run a command; without a name it is ``run``, with ``--check`` it is ``check``."""
+    """Run a command, by default ``run``, or ``check`` if given as ``--check``."""
     application = Application("bergamotsaddled", "0.1.0")
     application.add(RunCommand())
     application.add(CheckCommand())
--- a/packages/daemon/bergamotsaddle_daemon/callers.py
+++ b/packages/daemon/bergamotsaddle_daemon/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of callers."""
+"""The HTTP interface for callers."""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -29,23 +29,23 @@
 from bergamotsaddle_daemon.tickets import TicketRunner
 from bergamotsaddle_daemon.views import Views
 
-TICKET_HEADER = "HTTP_X_TICKET"
-DEADLINE_HEADER = "HTTP_X_DEADLINE"
-_SERVICE_SECONDS = 4.0
-_MAX_SECONDS = 600.0
-_BEARER = "Bearer "
-_WHOLE = "whole"
+TICKET_ENVIRON_KEY = "HTTP_X_TICKET"
+DEADLINE_ENVIRON_KEY = "HTTP_X_DEADLINE"
+_DEFAULT_SERVICE_SECONDS = 4.0
+_MAX_DEADLINE_SECONDS = 600.0
+_BEARER_PREFIX = "Bearer "
+_COMPLETE = "whole"
 
 
 class ErrorBody(msgspec.Struct):
-    """What a caller is told instead of an answer.
+    """The body of an error response.
 
     Attributes:
         request: Id of the request.
         kind: The error kind.
-        ran: Whether any part of it reached a target: no, yes or unknown.
-        detail: One sentence.
-        retry_after: Seconds after which to ask again; null for never.
+        ran: Whether any part of the request reached a target: no, yes or unknown.
+        detail: One sentence that describes the error.
+        retry_after: Seconds after which to retry; null for never.
     """
 
     request: str
@@ -56,7 +56,7 @@
 
 
 class CallerApp:
-    """The WSGI application of callers.
+    """The WSGI application that serves callers.
 
     Args:
         settings: The daemon's settings.
@@ -67,7 +67,7 @@
         services: Calls plain services.
         tickets: Runs unrepeatable requests.
         costs: Counts requests.
-        logger: Gets a line for each request.
+        logger: Receives a line for each request.
     """
 
     def __init__(
@@ -100,24 +100,24 @@
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable:
         """Serve one HTTP request."""
         self.active += 1
-        ended = CallOnce(self._end)
+        finish_once = CallOnce(self._finish_request)
         try:
-            answer = self._serve(environ, start_response)
+            body = self._serve(environ, start_response)
         except RequestError as error:
-            ended()
-            return self._refuse(start_response, "", error)
+            finish_once()
+            return self._error_response(start_response, "", error)
         except BaseException:
-            ended()
+            finish_once()
             raise
-        return ResponseBody(answer, ended)
+        return ResponseBody(body, finish_once)
 
-    def _end(self) -> None:
+    def _finish_request(self) -> None:
         self.active -= 1
 
     def _serve(self, environ: Environ, start_response: StartResponse) -> Iterable:
         path = environ["PATH_INFO"].strip("/").split("/")
         if path == ["ready"]:
-            return self._ready(start_response)
+            return self._serve_ready(start_response)
         if not self.stopping and not self.is_ready():
             raise RequestError(ErrorKind.NOT_READY, "this instance is still starting")
         if self.active > self._settings.limits.connections:
@@ -125,16 +125,16 @@
         team = self._authenticate(environ)
         match (environ["REQUEST_METHOD"], path):
             case ("POST", ["v1", "pipelines", name]):
-                return self._pipeline(environ, start_response, team, name)
-            case ("POST", ["v1", "services", kind, *rest]):
-                return self._service(environ, start_response, team, kind, rest)
+                return self._serve_pipeline(environ, start_response, team, name)
+            case ("POST", ["v1", "services", kind, *subpath]):
+                return self._serve_service(environ, start_response, team, kind, subpath)
             case ("POST", ["v1", "tickets", kind]):
-                return self._issue(start_response, team, kind)
+                return self._issue_ticket(start_response, team, kind)
             case ("GET", ["v1", "tickets", kind, ticket]):
-                return self._look(start_response, team, kind, ticket)
+                return self._query_ticket(start_response, team, kind, ticket)
         raise RequestError(ErrorKind.NOT_FOUND, "no such path or method")
 
-    def _ready(self, start_response: StartResponse) -> Iterable:
+    def _serve_ready(self, start_response: StartResponse) -> Iterable:
         is_ready = self.is_ready()
         return json_response(
             start_response, 200 if is_ready else 503, {"ready": is_ready}, close=True
@@ -150,20 +150,24 @@
             }
             self._teams_version = declaration.version
         header = environ.get("HTTP_AUTHORIZATION", "")
-        key = header.removeprefix(_BEARER) if header.startswith(_BEARER) else ""
+        key = (
+            header.removeprefix(_BEARER_PREFIX)
+            if header.startswith(_BEARER_PREFIX)
+            else ""
+        )
         team = self._team_by_digest.get(digest_key(key)) if key else None
         if team is None:
             detail = "expected 'Authorization: Bearer KEY' with a declared team's key"
             raise RequestError(ErrorKind.UNAUTHENTICATED, detail)
         return team
 
-    def _pipeline(
+    def _serve_pipeline(
         self, environ: Environ, start_response: StartResponse, team: Team, name: str
     ) -> Iterable:
         pipeline = self._views.declaration.pipelines.get(name)
         if pipeline is None:
             raise RequestError(ErrorKind.NOT_FOUND, f"no pipeline {name} is declared")
-        seconds = _read_seconds(environ, pipeline.deadline)
+        seconds = _read_deadline(environ, pipeline.deadline)
         request = Request(team, name, seconds, pipeline.priority)
         body = parse_pipeline_body(read_body(environ, self._settings))
         run = PipelineRun(
@@ -173,34 +177,34 @@
             run.check_admission(self._pools)
             events = run.run()
             if body.stream:
-                return self._stream(start_response, request, run, events)
+                return self._stream_response(start_response, request, run, events)
             for _ in events:
                 continue
         except RequestError as error:
-            self._note_end(request, error.kind)
-            return self._refuse(start_response, request.id, error)
-        self._note_end(request, _WHOLE)
-        return self._whole(start_response, request, run)
+            self._record_end(request, error.kind)
+            return self._error_response(start_response, request.id, error)
+        self._record_end(request, _COMPLETE)
+        return self._complete_response(start_response, request, run)
 
-    def _whole(
+    def _complete_response(
         self, start_response: StartResponse, request: Request, run: PipelineRun
     ) -> Iterable:
-        answer = {
+        payload = {
             "request": request.id,
             "output": run.output,
             "tokens": len(run.tokens),
         }
-        return json_response(start_response, 200, answer, close=self.stopping)
+        return json_response(start_response, 200, payload, close=self.stopping)
 
-    def _stream(
+    def _stream_response(
         self,
         start_response: StartResponse,
         request: Request,
         run: PipelineRun,
         events: Iterator[bytes],
     ) -> Iterable:
-        # Until the first token there is still a status to be chosen, so errors up
-        # to there are answered like any other refusal.
+        # The status is sent with the first token, so an error before it still gets a
+        # regular error response.
         first = next(events, b"")
         headers = [
             ("Content-Type", "text/event-stream"),
@@ -208,9 +212,9 @@
             ("Cache-Control", "no-store"),
         ]
         send_response_head(start_response, 200, headers, close=self.stopping)
-        return self._events(request, run, first, events)
+        return self._stream_events(request, run, first, events)
 
-    def _events(
+    def _stream_events(
         self, request: Request, run: PipelineRun, first: bytes, events: Iterator[bytes]
     ) -> Iterator[bytes]:
         outcome: str = "caller_left"
@@ -218,34 +222,34 @@
             if first:
                 yield first
             yield from events
-            outcome = _WHOLE
-            end = {"request": request.id, "tokens": len(run.tokens)}
+            outcome = _COMPLETE
+            payload = {"request": request.id, "tokens": len(run.tokens)}
             if not run.tokens:
-                end["output"] = run.output
-            yield b"event: end\ndata: " + msgspec.json.encode(end) + b"\n\n"
+                payload["output"] = run.output
+            yield b"event: end\ndata: " + msgspec.json.encode(payload) + b"\n\n"
         except RequestError as error:
-            # The status has been sent; the event tells the caller that what it has
-            # is only a part, which the bare end of the body would not.
+            # The status has already been sent. The event tells the caller that the
+            # response is incomplete, which the end of the body alone would not.
             outcome = error.kind
             body = msgspec.json.encode(_error_body(request.id, error))
             yield b"event: error\ndata: " + body + b"\n\n"
         finally:
             events.close()
-            self._note_end(request, outcome)
+            self._record_end(request, outcome)
 
-    def _service(
+    def _serve_service(
         self,
         environ: Environ,
         start_response: StartResponse,
         team: Team,
         kind: str,
-        rest: list[str],
+        subpath: list[str],
     ) -> Iterable:
         self._services.check_declared(kind)
-        seconds = _read_seconds(environ, _SERVICE_SECONDS)
+        seconds = _read_deadline(environ, _DEFAULT_SERVICE_SECONDS)
         request = Request(team, kind, seconds, team.priority)
         body = read_body(environ, self._settings)
-        path = "/".join(rest)
+        path = "/".join(subpath)
         try:
             if self._views.declaration.is_repeatable(kind):
                 reply = self._services.call_repeatable(request, path, body)
@@ -253,9 +257,9 @@
             else:
                 outcome = self._run_ticket(environ, request, path, body)
         except RequestError as error:
-            self._note_end(request, error.kind)
-            return self._refuse(start_response, request.id, error)
-        self._note_end(request, _WHOLE)
+            self._record_end(request, error.kind)
+            return self._error_response(start_response, request.id, error)
+        self._record_end(request, _COMPLETE)
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(outcome.body))),
@@ -267,7 +271,7 @@
     def _run_ticket(
         self, environ: Environ, request: Request, path: str, body: bytes
     ) -> Outcome:
-        text = environ.get(TICKET_HEADER, "")
+        text = environ.get(TICKET_ENVIRON_KEY, "")
         if not text:
             detail = f"get a ticket by POST /v1/tickets/{request.name} first"
             raise RequestError(ErrorKind.TICKET_REQUIRED, detail)
@@ -280,43 +284,45 @@
             raise outcome_error(outcome)
         return outcome
 
-    def _issue(self, start_response: StartResponse, team: Team, kind: str) -> Iterable:
+    def _issue_ticket(
+        self, start_response: StartResponse, team: Team, kind: str
+    ) -> Iterable:
         self._services.check_declared(kind)
         if self._views.declaration.is_repeatable(kind):
             detail = f"calls to {kind} may be repeated and need no ticket"
             raise RequestError(ErrorKind.BAD_REQUEST, detail)
         text, ticket = self._tickets.issue(team.name, kind)
-        answer = {
+        payload = {
             "ticket": text,
             "start_within": self._settings.timing.ticket_lifetime,
             "has_witness": bool(ticket.witness),
         }
-        return json_response(start_response, 200, answer, close=self.stopping)
+        return json_response(start_response, 200, payload, close=self.stopping)
 
-    def _look(
+    def _query_ticket(
         self, start_response: StartResponse, team: Team, kind: str, text: str
     ) -> Iterable:
         ticket = self._tickets.verify(text, team.name, kind)
         outcome = self._tickets.query_outcome(ticket)
-        answer = {"state": outcome.state, "detail": outcome.detail}
+        payload = {"state": outcome.state, "detail": outcome.detail}
         if is_finished(outcome):
-            answer["status"] = str(outcome.status)
-            answer["body"] = outcome.body.decode(errors="replace")
-        return json_response(start_response, 200, answer, close=self.stopping)
+            payload["status"] = str(outcome.status)
+            payload["body"] = outcome.body.decode(errors="replace")
+        return json_response(start_response, 200, payload, close=self.stopping)
 
-    def _refuse(
+    def _error_response(
         self, start_response: StartResponse, request_id: str, error: RequestError
     ) -> Iterable:
-        extra = []
+        headers = []
         if error.retry_after is not None:
-            extra.append(("Retry-After", str(max(1, round(error.retry_after)))))
+            headers.append(("Retry-After", str(max(1, round(error.retry_after)))))
         body = _error_body(request_id, error)
         close = self.stopping or error.kind in (ErrorKind.TOO_LARGE, ErrorKind.TOO_SLOW)
         return json_response(
-            start_response, error.status, body, headers=extra, close=close
+            start_response, error.status, body, headers=headers, close=close
         )
 
-    def _note_end(self, request: Request, outcome: str) -> None:
+    def _record_end(self, request: Request, outcome: str) -> None:
         seconds = now() - request.started_at
         self._costs.count_request(request.team.name, request.name, outcome, seconds)
         self._logger.info(
@@ -330,15 +336,15 @@
         )
 
 
-def _read_seconds(environ: Environ, default: float) -> float:
-    text = environ.get(DEADLINE_HEADER, "")
+def _read_deadline(environ: Environ, default: float) -> float:
+    text = environ.get(DEADLINE_ENVIRON_KEY, "")
     if not text:
         return default
     try:
         seconds = parse_duration(text)
     except ValueError as error:
         raise RequestError(ErrorKind.BAD_REQUEST, f"X-Deadline: {error}") from error
-    return min(seconds, _MAX_SECONDS)
+    return min(seconds, _MAX_DEADLINE_SECONDS)
 
 
 def _error_body(request_id: str, error: RequestError) -> ErrorBody:
--- a/packages/daemon/bergamotsaddle_daemon/calls.py
+++ b/packages/daemon/bergamotsaddle_daemon/calls.py
@@ -1,4 +1,4 @@
-"""Calls to targets over HTTP, with the checks that keep answers apart."""
+"""Calls to targets over HTTP, with checks that match responses to requests."""
 
 import itertools
 from collections.abc import Callable
@@ -16,11 +16,11 @@
 
 REQUEST_HEADER = "X-Request-Id"
 STAGE_HEADER = "X-Stage"
-DEADLINE_HEADER = "X-Remaining-Ms"
+REMAINING_TIME_HEADER = "X-Remaining-Ms"
 PRIORITY_HEADER = "X-Priority"
-_IDLE_KEPT = 64
-_LEAST_WAIT = 0.001
-_FAILURES = (HTTPError, OSError, eventlet.Timeout)
+_MAX_IDLE_CONNECTIONS = 64
+_MIN_READ_TIMEOUT = 0.001
+_CONNECTION_ERRORS = (HTTPError, OSError, eventlet.Timeout)
 
 Guard = Callable[[], None]
 
@@ -35,8 +35,8 @@
         body: Body to post.
         deadline: When the attempt ends, on the hub's clock.
         connect_timeout: Seconds for connecting.
-        priority: 1 before 9, for targets that honour it.
-        headers: Further headers.
+        priority: From 1, the most urgent, to 9, for targets that honour it.
+        headers: Additional headers.
     """
 
     request: str
@@ -50,18 +50,18 @@
 
 
 class Reply(NamedTuple):
-    """A target's whole answer."""
+    """A target's complete response."""
 
     status: int
     body: bytes
 
 
 class ResponseStream:
-    """A target's answer while it arrives.
+    """A target's response, read while it arrives.
 
     Args:
-        connection: The connection, which nothing else uses meanwhile.
-        response: The answer with its headers read.
+        connection: The connection, used only by this stream.
+        response: The response, with its headers already read.
     """
 
     def __init__(self, connection: HTTPConnection, response: BaseHTTPResponse) -> None:
@@ -69,23 +69,23 @@
         self._response = response
 
     def read_available(self, silence: float) -> bytes:
-        """Read what has arrived, or wait for more.
+        """Read the bytes that have arrived, or wait for some.
 
         Args:
             silence: Seconds without a byte after which the stream counts as cut.
 
         Returns:
-            Some bytes, or none at the end of the answer.
+            The bytes, empty at the end of the response.
 
         Raises:
-            TargetError: If the stream was cut or is silent.
+            TargetError: If the stream was cut or no byte arrived in time.
         """
-        # A timer of the hub for each token would cost as much as reading it; the
-        # socket's own limit starts one only if there is nothing to read yet.
-        self._connection.sock.settimeout(max(_LEAST_WAIT, silence))
+        # A hub timer for each token would cost as much as reading it. The socket's
+        # own timeout starts one only if there is nothing to read yet.
+        self._connection.sock.settimeout(max(_MIN_READ_TIMEOUT, silence))
         try:
             return self._response.read1()
-        except _FAILURES as error:
+        except _CONNECTION_ERRORS as error:
             timed_out = isinstance(error, (TimeoutError, ReadTimeoutError))
             detail = f"stream: {error!r}"
             raise TargetError(detail, sent=True, timed_out=timed_out) from error
@@ -96,39 +96,39 @@
 
 
 class Connections:
-    """Kept connections to targets; never used again after anything went wrong."""
+    """Keep-alive connections to targets; one is never reused after an error."""
 
     def __init__(self) -> None:
         self._idle_by_address: dict[Address, list[HTTPConnection]] = {}
-        self._attempts = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self.responses_discarded = 0
 
     def next_attempt_number(self) -> int:
-        """A number for the next attempt, unlike any other of this process."""
-        return next(self._attempts)
+        """Return a number for the next attempt, unique within this process."""
+        return next(self._attempt_numbers)
 
     def post(self, address: Address, call: Call, guard: Guard) -> Reply:
-        """Post and read the whole answer, on a kept connection if there is one.
+        """Post a call and read the response, on an idle connection if there is one.
 
         Args:
             address: The target.
-            call: What to post.
-            guard: Called right before the first byte is sent; raises to stop.
+            call: The call to post.
+            guard: Called right before the first byte is sent; raises to prevent it.
 
         Raises:
             RequestError: From the guard.
-            TargetError: If there is no usable answer.
+            TargetError: If there is no usable response.
         """
-        connection = self._take_idle(address) or self._connect(address, call)
+        connection = self._pop_idle(address) or self._connect(address, call)
         reply = self._exchange(connection, call, guard)
-        self._keep(address, connection)
+        self._return_idle(address, connection)
         return reply
 
     def post_once(self, address: Address, call: Call, guard: Guard) -> Reply:
-        """Post on a connection of its own, which was proven alive just before.
+        """Post a call on a new connection, which is known to work.
 
-        A kept connection may have been forgotten by something in between. A call
-        that must not be repeated would be lost in it with its outcome unknown.
+        A router or firewall may have dropped the state of an idle connection. A call
+        that must not be repeated would be lost on it with its outcome unknown.
         """
         connection = self._connect(address, call)
         try:
@@ -137,16 +137,16 @@
             connection.close()
 
     def open_stream(self, address: Address, call: Call, guard: Guard) -> ResponseStream:
-        """Post and return as soon as the answer's headers are there.
+        """Post a call and return as soon as the response headers have arrived.
 
         Raises:
             RequestError: From the guard.
-            TargetError: If the target does not begin to answer as it should.
+            TargetError: If the target does not start a valid response.
         """
         connection = self._connect(address, call)
         try:
             response = self._send(connection, call, guard, stream=True)
-            self._check(response, call)
+            self._check_response(response, call)
             if response.status != 200:
                 raise TargetError(f"status {response.status}", sent=True)
         except BaseException:
@@ -155,15 +155,15 @@
         return ResponseStream(connection, response)
 
     def close_idle(self, address: Address) -> None:
-        """Close the kept connections to a target.
+        """Close the idle connections to a target.
 
-        If one of them has gone silent the others often have too, and each would
-        cost a request its time before it shows.
+        If one of them has gone silent the others often have too, and each would cost
+        a request its time limit before this is noticed.
         """
         for connection in self._idle_by_address.pop(address, []):
             connection.close()
 
-    def _take_idle(self, address: Address) -> HTTPConnection | None:
+    def _pop_idle(self, address: Address) -> HTTPConnection | None:
         idle = self._idle_by_address.get(address, [])
         while idle:
             connection = idle.pop()
@@ -172,9 +172,9 @@
             connection.close()
         return None
 
-    def _keep(self, address: Address, connection: HTTPConnection) -> None:
+    def _return_idle(self, address: Address, connection: HTTPConnection) -> None:
         idle = self._idle_by_address.setdefault(address, [])
-        if connection.sock is None or len(idle) >= _IDLE_KEPT:
+        if connection.sock is None or len(idle) >= _MAX_IDLE_CONNECTIONS:
             connection.close()
             return
         idle.append(connection)
@@ -186,7 +186,7 @@
         connection = HTTPConnection(address.host, address.port, timeout=limit)
         try:
             connection.connect()
-        except _FAILURES as error:
+        except _CONNECTION_ERRORS as error:
             connection.close()
             raise TargetError(f"connect: {error}", sent=False) from error
         return connection
@@ -194,10 +194,10 @@
     def _exchange(self, connection: HTTPConnection, call: Call, guard: Guard) -> Reply:
         try:
             response = self._send(connection, call, guard, stream=False)
-            self._check(response, call)
+            self._check_response(response, call)
         except BaseException:
-            # After a timeout the answer may still arrive; whoever used this
-            # connection next would get it as their own. So it is closed.
+            # After a timeout the response may still arrive, and the next request on
+            # this connection would read it as its own. So the connection is closed.
             connection.close()
             raise
         return Reply(response.status, response.data)
@@ -212,15 +212,15 @@
             "Content-Type": "application/json",
             REQUEST_HEADER: call.request,
             STAGE_HEADER: call.stage,
-            DEADLINE_HEADER: str(int(remaining * 1000)),
+            REMAINING_TIME_HEADER: str(int(remaining * 1000)),
             PRIORITY_HEADER: str(call.priority),
             **call.headers,
         }
         guard()
         try:
             with eventlet.Timeout(remaining):
-                # Sending sets the socket's limit anew from this; the limit for
-                # connecting would cut off every answer that takes longer.
+                # Sending sets the socket's timeout from this attribute. The connect
+                # timeout would cut off every response that takes longer.
                 connection.timeout = None
                 connection.request(
                     "POST",
@@ -230,16 +230,16 @@
                     preload_content=not stream,
                 )
                 return connection.getresponse()
-        except _FAILURES as error:
+        except _CONNECTION_ERRORS as error:
             timed_out = isinstance(error, eventlet.Timeout)
             detail = f"exchange: {error!r}"
             raise TargetError(detail, sent=True, timed_out=timed_out) from error
 
-    def _check(self, response: BaseHTTPResponse, call: Call) -> None:
-        """Refuse an answer that names another request, stage or attempt.
+    def _check_response(self, response: BaseHTTPResponse, call: Call) -> None:
+        """Reject a response that names another request, stage or attempt.
 
-        A target or something before it may answer late or mix answers up. The
-        caller would get somebody else's data; the names in the answer tell.
+        A target, or a proxy before it, may respond late or mix up responses. The
+        caller would then get the data of another request.
         """
         named = (
             response.headers.get(REQUEST_HEADER),
--- a/packages/daemon/bergamotsaddle_daemon/clock.py
+++ b/packages/daemon/bergamotsaddle_daemon/clock.py
@@ -1,8 +1,8 @@
-"""The hub's clock, the only time that the daemon goes by."""
+"""The hub's clock, the only time source of the daemon."""
 
 from eventlet import hubs
 
 
 def now() -> float:
-    """Seconds on the hub's monotonic clock."""
+    """Return the seconds on the hub's monotonic clock."""
     return hubs.get_hub().clock()
--- a/packages/daemon/bergamotsaddle_daemon/daemon.py
+++ b/packages/daemon/bergamotsaddle_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a daemon together, starts them and stops them gracefully."""
+"""Builds the components of a daemon, starts them and stops them gracefully."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -49,20 +49,20 @@
 from bergamotsaddle_daemon.views import Views
 from bergamotsaddle_daemon.witness import Witness
 
-_STOP_STEP = 0.05
-_RESTART_PAUSE = 1.0
+_STOP_POLL_INTERVAL = 0.05
+_RESTART_DELAY = 1.0
 
 
 class Interfaces(NamedTuple):
-    """What a daemon meets outside itself; tests put small fakes here.
+    """The external dependencies of a daemon, which tests replace by fakes.
 
     Attributes:
         config: Reads the declaration.
         instances: Reads the instance list.
-        link_factory: Makes links to peers.
+        link_factory: Creates links to peers.
         heartbeats: Sends heartbeats.
-        read_load: Asks a target for its load.
-        connections: Calls targets.
+        read_load: Reads the load of a target.
+        connections: Connections to targets.
     """
 
     config: PlatformReader
@@ -77,9 +77,9 @@
     """One entry instance.
 
     Args:
-        settings: Its settings.
-        interfaces: What it meets outside itself.
-        logger: Where log lines go.
+        settings: The daemon's settings.
+        interfaces: The daemon's external dependencies.
+        logger: Receives the log lines.
     """
 
     def __init__(self, settings: Settings, interfaces: Interfaces, logger: Any) -> None:
@@ -129,17 +129,22 @@
         )
         self.peers.own_reports = self.reports.heartbeat_reports
         self.operators = OperatorApp(self)
-        self._was_ready = False
+        self._has_been_ready = False
         self.threads: list[GreenThread] = []
         self.callers.is_ready = self.is_ready
 
     def _build_callers(self, connections: Connections) -> None:
         settings = self.settings
-        times = StageLatencies()
+        stage_latencies = StageLatencies()
         stages = StageCaller(
-            settings, self.pools, connections, times, self.costs, self.decisions
+            settings,
+            self.pools,
+            connections,
+            stage_latencies,
+            self.costs,
+            self.decisions,
         )
-        relay = StreamRelay(settings, stages, connections, times, self.costs)
+        relay = StreamRelay(settings, stages, connections, stage_latencies, self.costs)
         services = ServiceCaller(
             self.views, stages, connections, self.costs, self.decisions
         )
@@ -165,7 +170,7 @@
         )
 
     def handlers(self) -> dict[type, Handler]:
-        """What to do with each message of a peer."""
+        """Return the handler of each type of message that peers send."""
         return {
             StartRecord: self.witness.record_start,
             OutcomeRecord: self.witness.record_outcome,
@@ -173,48 +178,49 @@
             RunTicket: self.tickets.handle_run_ticket,
             TicketHandover: self.witness.apply_handover,
             PermitQuery: self.home.grant,
-            PermitReturn: self._take_permit,
-            PermitHandover: self._take_permits,
-            DeclarationQuery: self._tell_declaration,
-            InstancesQuery: self._tell_instances,
+            PermitReturn: self._handle_permit_return,
+            PermitHandover: self._handle_permit_handover,
+            DeclarationQuery: self._handle_declaration_query,
+            InstancesQuery: self._handle_instances_query,
         }
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this instance."""
         if self.peers.stopping or not self.views.declaration.revision:
             return False
-        self._was_ready = self._was_ready or self.peers.is_caught_up()
-        return self._was_ready
+        self._has_been_ready = self._has_been_ready or self.peers.is_caught_up()
+        return self._has_been_ready
 
     def spawn(self) -> None:
-        """Start the green threads that run for ever."""
-        for work in (
+        """Start the green threads that run until the process exits."""
+        for function in (
             self.platform.watch_declaration,
             self.platform.watch_instances,
             self.reports.run,
             self.placement.run,
             self.pools.dispatch_forever,
         ):
-            self.threads.append(eventlet.spawn(self._keep_running, work))
+            self.threads.append(eventlet.spawn(self._run_with_restarts, function))
 
-    def _keep_running(self, work: Callable[[], None]) -> None:
-        # An error nobody thought of would end the green thread, and this instance
-        # would serve on without hearing of any change; the log line tells of it.
+    def _run_with_restarts(self, function: Callable[[], None]) -> None:
+        # An unexpected error would end the green thread, and this instance would go
+        # on serving without receiving any changes. So the error is logged and the
+        # function is restarted.
         while True:
             try:
-                work()
+                function()
             except Exception:
-                self.logger.exception("restarting", work=work.__qualname__)
-            eventlet.sleep(_RESTART_PAUSE)
+                self.logger.exception("restarting", work=function.__qualname__)
+            eventlet.sleep(_RESTART_DELAY)
 
     def stop(self, close_listener: Callable[[], None]) -> None:
-        """Stop gracefully: refuse nothing, finish everything, hand over the rest.
+        """Stop gracefully: reject nothing, finish all requests, hand over the rest.
 
-        The balancer needs time to notice the ready probe; closing the listener
-        before would cut off callers that it still sends here.
+        The load balancer needs time to notice that the ready probe fails. Closing the
+        listener earlier would cut off callers that it still sends here.
 
         Args:
-            close_listener: Called when no new caller is expected any more.
+            close_listener: Called when no new callers are expected.
         """
         timing = self.settings.timing
         self.peers.stopping = True
@@ -225,7 +231,7 @@
         close_listener()
         limit = now() + timing.stop_limit
         while self._is_busy() and now() < limit:
-            eventlet.sleep(_STOP_STEP)
+            eventlet.sleep(_STOP_POLL_INTERVAL)
         self.tickets.hand_over()
         self.logger.info("stopped", requests=self.callers.active)
 
@@ -240,24 +246,24 @@
             try:
                 self.peers.call(next_home, message, self.settings.timing.peer_call)
             except PeerUnreachableError:
-                # The next home then waits out what this one has granted.
+                # The next home then waits until the permits of this one have expired.
                 continue
 
-    def _take_permit(self, message: PermitReturn) -> Done:
+    def _handle_permit_return(self, message: PermitReturn) -> Done:
         self.home.release(message)
         return Done()
 
-    def _take_permits(self, message: PermitHandover) -> Done:
+    def _handle_permit_handover(self, message: PermitHandover) -> Done:
         self.home.apply_handover(message)
         return Done()
 
-    def _tell_declaration(self, message: DeclarationQuery) -> DeclarationText:
+    def _handle_declaration_query(self, message: DeclarationQuery) -> DeclarationText:
         declaration = self.views.declaration
         if declaration.revision < message.revision:
             return DeclarationText("")
         return DeclarationText(declaration.text)
 
-    def _tell_instances(self, message: InstancesQuery) -> InstancesPayload:
+    def _handle_instances_query(self, message: InstancesQuery) -> InstancesPayload:
         instances = self.views.instances
         if instances.version <= message.version:
             return InstancesPayload(b"")
--- a/packages/daemon/bergamotsaddle_daemon/datagrams.py
+++ b/packages/daemon/bergamotsaddle_daemon/datagrams.py
@@ -23,15 +23,15 @@
         self._socket.bind(address)
 
     def send(self, heartbeat: Heartbeat, address: str) -> None:
-        """Send one datagram; it may get lost."""
+        """Send one datagram without a guarantee of delivery."""
         try:
             self._socket.sendto(seal(heartbeat, self._key), parse_address(address))
         except OSError:
-            # The network refuses at once what it would otherwise lose.
+            # A datagram that the network rejects is treated like a lost one.
             return
 
     def receive_forever(self, peers: Peers) -> None:
-        """Hand over every datagram that an instance of this deployment made."""
+        """Pass every datagram signed with the deployment's key to the peers."""
         while True:
             try:
                 datagram = self._socket.recv(_MAX_DATAGRAM_BYTES)
--- a/packages/daemon/bergamotsaddle_daemon/decisions.py
+++ b/packages/daemon/bergamotsaddle_daemon/decisions.py
@@ -1,4 +1,4 @@
-"""A log line for each routing or placement decision, and the last ones by request."""
+"""Logs routing and placement decisions and keeps the latest ones by request."""
 
 import sys
 from collections import OrderedDict
@@ -12,15 +12,15 @@
 
 
 class Decision(NamedTuple):
-    """One decision.
+    """One routing or placement decision.
 
     Attributes:
         request: Id of the request, or an empty string.
-        subject: What was decided on, such as ``route`` or ``permit``.
-        choice: What was chosen, or an empty string for a refusal.
-        reason: Why.
-        candidates: How many there were to choose from.
-        at: Seconds on the hub's clock.
+        subject: Subject of the decision, such as ``route`` or ``permit``.
+        choice: The choice, or an empty string if nothing was chosen.
+        reason: Reason for the choice.
+        candidates: Number of candidates.
+        at: Time of the decision in seconds on the hub's clock.
     """
 
     request: str
@@ -32,7 +32,7 @@
 
 
 def make_logger(settings: Settings) -> structlog.typing.FilteringBoundLogger:
-    """Make the logger of this instance, one JSON object a line on standard output."""
+    """Create this instance's logger, which writes JSON lines to standard output."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -46,7 +46,7 @@
 
 
 def _encode_line(event: dict[str, Any], **_: Any) -> bytes:
-    """Encode without the options of the standard library's encoder."""
+    """Encode a line, ignoring options meant for the standard library's encoder."""
     return msgspec.json.encode(event)
 
 
@@ -54,19 +54,19 @@
     """Writes decisions to the log and keeps those of the latest requests.
 
     Args:
-        settings: The daemon's settings; bounds how many requests are kept.
-        logger: Where the lines go.
+        settings: The daemon's settings, which bound the number of requests kept.
+        logger: Receives the log lines.
     """
 
     def __init__(self, settings: Settings, logger: structlog.typing.WrappedLogger):
-        self._limit = settings.limits.decisions
+        self._max_requests = settings.limits.decisions
         self._logger = logger
         self._by_request: OrderedDict[str, list[Decision]] = OrderedDict()
 
     def record(
         self, request: str, subject: str, choice: str, reason: str, candidates: int = 0
     ) -> None:
-        """Write one decision."""
+        """Log one decision, and keep it if it belongs to a request."""
         self._logger.info(
             subject,
             request=request,
@@ -78,9 +78,9 @@
             return
         decision = Decision(request, subject, choice, reason, candidates, now())
         self._by_request.setdefault(request, []).append(decision)
-        if len(self._by_request) > self._limit:
+        if len(self._by_request) > self._max_requests:
             self._by_request.popitem(last=False)
 
     def of_request(self, request: str) -> list[Decision]:
-        """Decisions of one request, oldest first; empty if no longer kept."""
+        """Return the decisions of one request, oldest first; empty if not kept."""
         return list(self._by_request.get(request, ()))
--- a/packages/daemon/bergamotsaddle_daemon/http.py
+++ b/packages/daemon/bergamotsaddle_daemon/http.py
@@ -1,4 +1,4 @@
-"""What both HTTP interfaces of the daemon need of WSGI."""
+"""WSGI helpers shared by both HTTP interfaces of the daemon."""
 
 from collections.abc import Callable, Iterable
 from http import HTTPStatus
@@ -18,7 +18,7 @@
 def send_response_head(
     start_response: StartResponse, status: int, headers: Headers, *, close: bool
 ) -> None:
-    """Send status and headers; ``close`` asks the client for a new connection."""
+    """Send status and headers; ``close`` asks the client to close the connection."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -31,13 +31,13 @@
 def json_response(
     start_response: StartResponse,
     status: int,
-    answer: Any,
+    payload: Any,
     *,
     headers: Headers | None = None,
     close: bool = False,
 ) -> Iterable[bytes]:
-    """Answer with JSON."""
-    body = msgspec.json.encode(answer)
+    """Send the head of a JSON response and return its body."""
+    body = msgspec.json.encode(payload)
     content = [
         ("Content-Type", "application/json"),
         ("Content-Length", str(len(body))),
@@ -51,7 +51,7 @@
     """Read a request's body.
 
     Raises:
-        RequestError: If it is too large or its sender too slow.
+        RequestError: If it is malformed, too large or sent too slowly.
     """
     bound = settings.limits.body_bytes
     length = environ.get("CONTENT_LENGTH") or "0"
--- a/packages/daemon/bergamotsaddle_daemon/hub_bridge.py
+++ b/packages/daemon/bergamotsaddle_daemon/hub_bridge.py
@@ -1,4 +1,4 @@
-"""Carries work from native threads, which gRPC runs on, to the hub's thread."""
+"""Runs functions from native threads, such as those of gRPC, on the hub's thread."""
 
 import contextlib
 import threading
@@ -10,19 +10,19 @@
 from eventlet import hubs
 from eventlet.patcher import original
 
-# The green versions wait on the hub when a pipe is full or empty. A native thread has
-# no hub to wait on and would start one of its own.
+# The green versions of read and write wait on the hub when a pipe is empty or full. A
+# native thread has no hub to wait on and would start one of its own.
 os = original("os")
 
 _READ_BYTES = 4096
 
 
 class HubBridge:
-    """Runs functions on the hub that native threads hand over.
+    """Runs functions from native threads on the hub's thread.
 
-    The hub's objects may only be touched from its own thread; a green thread woken
-    from another one would run there and corrupt both. So native threads append to
-    a queue and write to a pipe, and a green thread reads the pipe.
+    The hub's objects may only be used from its own thread; a green thread woken from
+    another one would run there and corrupt both. So native threads append to a queue
+    and write to a pipe, and a green thread reads the pipe.
     """
 
     def __init__(self) -> None:
@@ -32,21 +32,21 @@
         os.set_blocking(self._write_end, False)
         eventlet.spawn_n(self._run)
 
-    def post(self, work: Callable[[], None]) -> None:
-        """Have a function run in a green thread; any thread may call this."""
-        self._queue.append(work)
+    def post(self, function: Callable[[], None]) -> None:
+        """Run a function in a green thread; may be called from any thread."""
+        self._queue.append(function)
         try:
             os.write(self._write_end, b"\0")
         except BlockingIOError:
-            # The pipe is full of wake-ups already; one of them is enough.
+            # The pipe is already full of wake-ups, and one of them is enough.
             return
 
-    def call(self, work: Callable[[], Any], timeout: float) -> Any:
-        """Run a function in a green thread and wait for it in a native one.
+    def call(self, function: Callable[[], Any], timeout: float) -> Any:
+        """Run a function in a green thread and wait for it in a native thread.
 
         Raises:
             TimeoutError: If there is no result in time.
-            Exception: What the function raised.
+            Exception: Any exception that the function raises.
         """
         done = threading.Event()
         results: list[Any] = []
@@ -54,7 +54,7 @@
 
         def run() -> None:
             try:
-                results.append(work())
+                results.append(function())
             except Exception as error:
                 errors.append(error)
             done.set()
@@ -69,10 +69,10 @@
     def _run(self) -> None:
         while True:
             hubs.trampoline(self._read_end, read=True)
-            # An earlier read may have taken the wake-up already.
+            # An earlier read may have consumed the wake-up already.
             with contextlib.suppress(BlockingIOError):
                 os.read(self._read_end, _READ_BYTES)
             while self._queue:
-                # In a green thread of its own, so that work that fails or waits
-                # neither ends nor holds up the bridge for all the rest.
+                # Each function gets a green thread of its own, so that one that fails
+                # or waits neither ends the bridge nor delays the other functions.
                 eventlet.spawn_n(self._queue.popleft())
--- a/packages/daemon/bergamotsaddle_daemon/links.py
+++ b/packages/daemon/bergamotsaddle_daemon/links.py
@@ -15,12 +15,12 @@
 from bergamotsaddle_daemon.settings import Settings
 
 _SERVICE = "bergamotsaddle.Peer"
-_SERVE_LIMIT = 70.0
-_MARGIN = 0.2
-_MESSAGE_BYTES = 2_000_000
+_MAX_SERVE_SECONDS = 70.0
+_TIMEOUT_MARGIN = 0.2
+_MAX_MESSAGE_BYTES = 2_000_000
 _OPTIONS = (
-    ("grpc.max_receive_message_length", _MESSAGE_BYTES),
-    ("grpc.max_send_message_length", _MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", _MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", _MAX_MESSAGE_BYTES),
     ("grpc.max_reconnect_backoff_ms", 500),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.enable_http_proxy", 0),
@@ -31,17 +31,17 @@
 
 
 class Link(Protocol):
-    """A way to call one peer."""
+    """Calls one peer."""
 
     def call(self, message: Any, timeout: float) -> Any:
-        """Send a message and wait for its answer.
+        """Send a message and wait for the response.
 
         Args:
             message: One of the queries of ``messages.ANSWER_BY_QUERY``.
             timeout: Seconds.
 
         Raises:
-            PeerUnreachableError: If there is no answer in time.
+            PeerUnreachableError: If no response arrives in time.
         """
 
     def close(self) -> None:
@@ -54,50 +54,50 @@
     Args:
         address: The peer's address.
         key: Shared by all instances.
-        bridge: Carries completions to the hub.
+        bridge: Passes completions to the hub's thread.
     """
 
     def __init__(self, address: str, key: bytes, bridge: HubBridge) -> None:
         self._address = address
         self._key = key
         self._bridge = bridge
-        self._channel = self._open()
+        self._channel = self._open_channel()
 
     def call(self, message: Any, timeout: float) -> Any:
-        """Send a message and wait for its answer."""
-        answer_kind = ANSWER_BY_QUERY[type(message)]
+        """Send a message and wait for the response."""
+        response_type = ANSWER_BY_QUERY[type(message)]
         method = self._channel.unary_unary(f"/{_SERVICE}/{type(message).__name__}")
         done = Event()
         call = method.future(seal(message, self._key), timeout=timeout)
         call.add_done_callback(lambda _: self._bridge.post(done.send))
-        with eventlet.Timeout(timeout + _MARGIN, False):
+        with eventlet.Timeout(timeout + _TIMEOUT_MARGIN, False):
             done.wait()
         if not done.ready() or call.code() is not grpc.StatusCode.OK:
             reason = call.code().name if call.done() else "silent"
             call.cancel()
-            self._renew(reason)
+            self._reopen_channel(reason)
             raise PeerUnreachableError(reason)
-        return open_sealed(call.result(), answer_kind, self._key)
+        return open_sealed(call.result(), response_type, self._key)
 
     def close(self) -> None:
         """Close the channel."""
         self._channel.close()
 
-    def _open(self) -> grpc.Channel:
-        # gRPC shares one connection among channels with equal options unless told
-        # not to; the new channel of _renew would then get the silent one again.
+    def _open_channel(self) -> grpc.Channel:
+        # By default gRPC shares one connection among channels with equal options. The
+        # new channel of _reopen_channel would then get the silent connection again.
         options = (*_OPTIONS, ("grpc.use_local_subchannel_pool", 1))
         return grpc.insecure_channel(self._address, options=options)
 
-    def _renew(self, reason: str) -> None:
-        """Replace a channel that gave no answer in time.
+    def _reopen_channel(self, reason: str) -> None:
+        """Replace a channel on which a call timed out.
 
-        Its connection may have been forgotten by something in between; every later
+        A router or firewall may have dropped the state of its connection. Every later
         call to this peer would then time out although a new connection would work.
         """
         if reason not in ("DEADLINE_EXCEEDED", "silent"):
             return
-        old, self._channel = self._channel, self._open()
+        old, self._channel = self._channel, self._open_channel()
         old.close()
 
 
@@ -106,7 +106,7 @@
 
     Args:
         settings: The daemon's settings.
-        bridge: Carries calls to the hub.
+        bridge: Runs the handlers on the hub's thread.
     """
 
     def __init__(self, settings: Settings, bridge: HubBridge) -> None:
@@ -116,15 +116,15 @@
         workers = futures.ThreadPoolExecutor(settings.limits.peer_workers)
         self._server = grpc.server(workers, options=_OPTIONS)
         self._server.add_generic_rpc_handlers((self,))
-        wanted = settings.daemon.peer_address
-        port = self._server.add_insecure_port(str(wanted))
-        self.address = Address(wanted.host, port)
+        configured_address = settings.daemon.peer_address
+        port = self._server.add_insecure_port(str(configured_address))
+        self.address = Address(configured_address.host, port)
 
     def start(self, handlers: dict[type, Handler]) -> None:
-        """Begin to serve.
+        """Start serving.
 
         Args:
-            handlers: What to do by type of message.
+            handlers: Handler by type of message.
         """
         self._handlers_by_name = {
             f"/{_SERVICE}/{kind.__name__}": (kind, handler)
@@ -133,13 +133,13 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Stop serving; running calls are cancelled."""
+        """Stop serving and cancel running calls."""
         self._server.stop(None)
 
     def service(
         self, handler_call_details: grpc.HandlerCallDetails
     ) -> grpc.RpcMethodHandler | None:
-        """Find the handler of a method, as gRPC asks for it."""
+        """Return the handler of a method; called by gRPC."""
         found = self._handlers_by_name.get(handler_call_details.method)
         if found is None:
             return None
@@ -150,8 +150,10 @@
                 message = open_sealed(payload, kind, self._key)
             except ValueError as error:
                 context.abort(grpc.StatusCode.PERMISSION_DENIED, str(error))
-            limit = min(_SERVE_LIMIT, context.time_remaining() or _SERVE_LIMIT)
-            answer = self._bridge.call(lambda: handler(message), limit)
-            return seal(answer, self._key)
+            limit = min(
+                _MAX_SERVE_SECONDS, context.time_remaining() or _MAX_SERVE_SECONDS
+            )
+            response = self._bridge.call(lambda: handler(message), limit)
+            return seal(response, self._key)
 
         return grpc.unary_unary_rpc_method_handler(serve)
--- a/packages/daemon/bergamotsaddle_daemon/operators.py
+++ b/packages/daemon/bergamotsaddle_daemon/operators.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of operators' commands and probes."""
+"""The HTTP interface for operators' commands and for probes."""
 
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any
@@ -23,7 +23,7 @@
 
 @PAGES.register("status")
 def show_status(daemon: "Daemon") -> dict[str, Any]:
-    """This instance, what it has in force and whom it hears."""
+    """Return the state of this instance, its versions in force and its peers."""
     views = daemon.views
     peers = daemon.peers
     return {
@@ -33,15 +33,15 @@
         "stopping": peers.stopping,
         "revision": views.declaration.revision,
         "digest": views.declaration.digest,
-        "in_force_for": _round(now() - views.applied_at),
-        "confirmed_age": _round(now() - views.confirmed_at),
+        "in_force_for": _round_seconds(now() - views.applied_at),
+        "confirmed_age": _round_seconds(now() - views.confirmed_at),
         "stale": views.is_stale(),
         "service_revision": views.service_revision,
         "service_error": daemon.platform.config_error,
         "refused": [str(fault) for fault in views.rejected_faults],
         "race": views.revision_conflict,
         "list_version": views.instances.version,
-        "list_age": _round(views.list_age()),
+        "list_age": _round_seconds(views.list_age()),
         "list_error": daemon.platform.instances_error,
         "requests": daemon.callers.active,
         "waiting": daemon.pools.count_waiting(),
@@ -61,10 +61,10 @@
 
 @PAGES.register("zones")
 def show_zones(daemon: "Daemon") -> list[dict[str, Any]]:
-    """Each availability zone with its targets and their work from here."""
+    """Return each availability zone with its targets and their calls from here."""
     rows = []
     for zone in daemon.views.declaration.zones.values():
-        targets = [t for t in daemon.targets.by_id.values() if _zone(t) == zone.name]
+        targets = [t for t in daemon.targets.by_id.values() if _zone_of(t) == zone.name]
         rows.append(
             {
                 "zone": zone.name,
@@ -80,13 +80,13 @@
 
 @PAGES.register("targets")
 def show_targets(daemon: "Daemon") -> list[dict[str, Any]]:
-    """Each target as this instance sees it."""
+    """Return the state of each target as known to this instance."""
     return [
         {
             "target": target.id,
             "kind": target.declared.kind,
-            "zone": _zone(target),
-            "state": _state(daemon, target),
+            "zone": _zone_of(target),
+            "state": _state_of(daemon, target),
             "in_flight": target.in_flight,
             "limit": round(target.limit.value, 1),
             "latency_ms": round(target.latency * 1000, 1),
@@ -100,7 +100,7 @@
 
 @PAGES.register("teams")
 def show_teams(daemon: "Daemon") -> list[dict[str, Any]]:
-    """Each team with its share and priority."""
+    """Return each team with its share and priority."""
     return [
         {"team": team.name, "share": team.share, "priority": team.priority}
         for team in daemon.views.declaration.teams.values()
@@ -109,13 +109,13 @@
 
 @PAGES.register("costs")
 def show_costs(daemon: "Daemon") -> list[dict[str, Any]]:
-    """Calls, tokens and seconds by team, pipeline and stage."""
+    """Return calls, tokens and seconds by team, pipeline and stage."""
     return [row._asdict() for row in daemon.costs.rows()]
 
 
 @PAGES.register("config")
 def show_config(daemon: "Daemon") -> dict[str, Any]:
-    """The declaration in force."""
+    """Return the declaration in force."""
     declaration = daemon.views.declaration
     return {
         "revision": declaration.revision,
@@ -125,10 +125,10 @@
 
 
 class OperatorApp:
-    """The WSGI application of operators.
+    """The WSGI application that serves operators and probes.
 
     Args:
-        daemon: What to show.
+        daemon: The daemon to report on.
     """
 
     def __init__(self, daemon: "Daemon") -> None:
@@ -157,11 +157,11 @@
         return json_response(start_response, 404, {"error": "no such page"})
 
 
-def _zone(target: Any) -> str:
+def _zone_of(target: Any) -> str:
     return target.declared.zone
 
 
-def _state(daemon: "Daemon", target: Any) -> str:
+def _state_of(daemon: "Daemon", target: Any) -> str:
     if not daemon.targets.accepts_new_work(target):
         return "out"
     if not daemon.permits.can_use(target):
@@ -171,5 +171,5 @@
     return "cold" if target.is_cold() else "warm"
 
 
-def _round(seconds: float) -> float | None:
+def _round_seconds(seconds: float) -> float | None:
     return round(seconds, 2) if abs(seconds) != float("inf") else None
--- a/packages/daemon/bergamotsaddle_daemon/peers.py
+++ b/packages/daemon/bergamotsaddle_daemon/peers.py
@@ -1,4 +1,4 @@
-"""The other entry instances: who they are, who is alive, and how to call them."""
+"""Membership and liveness of the other entry instances, and calls to them."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -23,7 +23,7 @@
 from bergamotsaddle_daemon.targets import Targets
 from bergamotsaddle_daemon.views import Views
 
-_FETCH_LIMIT = 2.0
+_FETCH_TIMEOUT = 2.0
 
 LinkFactory = Callable[[str], Link]
 
@@ -32,15 +32,15 @@
     """Sends heartbeats."""
 
     def send(self, heartbeat: Heartbeat, address: str) -> None:
-        """Send one datagram; it may get lost."""
+        """Send one datagram without a guarantee of delivery."""
 
 
 class Peer:
     """Another entry instance.
 
     Args:
-        instance: Its line in the platform's list.
-        link: How to call it.
+        instance: Its entry in the platform's instance list.
+        link: Link for calls to it.
     """
 
     def __init__(self, instance: Instance, link: Link) -> None:
@@ -55,7 +55,7 @@
         self.follows = False
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat into account."""
+        """Update the state of this peer from a heartbeat."""
         self.last_seen_at = now()
         self.incarnation = heartbeat.incarnation
         self.clock = heartbeat.clock
@@ -71,11 +71,11 @@
     Args:
         settings: The daemon's settings.
         incarnation: Random name of this process.
-        views: Kept up to date from what peers know.
-        homes: Whose reports to ask for.
-        targets: Get the reports that peers send.
+        views: Updated with newer versions that peers have.
+        homes: The homes whose reports this instance needs.
+        targets: Receive the reports that peers send.
         decisions: The decision log.
-        link_factory: Makes a link to an address.
+        link_factory: Creates a link to an address.
         socket: Sends heartbeats.
     """
 
@@ -100,7 +100,7 @@
         self._link_factory = link_factory
         self._socket = socket
         self._changed = Event()
-        self._fetching = False
+        self._is_fetching = False
         self._started_at = now()
         self.by_id: dict[str, Peer] = {}
         self.neighbours: dict[str, Peer] = {}
@@ -110,7 +110,7 @@
         views.subscribe(self.refresh)
 
     def refresh(self) -> None:
-        """Follow the instance list, then tell the neighbours of the change."""
+        """Apply the current instance list, then notify the neighbours."""
         entries = {
             entry.id: entry
             for entry in self._views.instances.entries()
@@ -129,35 +129,36 @@
         self.notify_neighbours()
 
     def notify_neighbours(self) -> None:
-        """Send heartbeats at once, as after a change."""
+        """Send heartbeats immediately instead of after the usual interval."""
         changed, self._changed = self._changed, Event()
         changed.send()
 
     def is_alive(self, peer_id: str) -> bool:
-        """Tell whether a peer was heard lately."""
+        """Return whether a peer's latest heartbeat is recent enough."""
         peer = self.by_id.get(peer_id)
         if peer is None:
             return False
         return now() - peer.last_seen_at <= self._settings.timing.peer_silence
 
     def is_caught_up(self) -> bool:
-        """Tell whether this instance has asked its peers what is in force.
+        """Return whether this instance has learned from its peers what is in force.
 
-        A replaced instance may start while the service shows an old declaration.
-        Serving by it would undo what operators see in force everywhere else. So
-        it waits for its neighbours, though not for ones that are silent. Model:
-        ``ready``.
+        A replacement instance may start while the configuration service returns an
+        old declaration. Serving requests by it would undo what is in force at every
+        other instance. So the instance waits for a heartbeat of each neighbour, or
+        for ``peer_silence`` if some are unreachable, and up to twice as long while a
+        peer has a newer revision. Model: ``ready``.
         """
         waited = now() - self._started_at
         silence = self._settings.timing.peer_silence
-        if self._fetching or not self._views.instances.version:
+        if self._is_fetching or not self._views.instances.version:
             return False
-        if self._knows_of_newer() and waited <= 2 * silence:
+        if self._is_newer_revision_known() and waited <= 2 * silence:
             return False
-        heard = (peer.incarnation for peer in self.neighbours.values())
-        return waited > silence or all(heard)
+        incarnations = (peer.incarnation for peer in self.neighbours.values())
+        return waited > silence or all(incarnations)
 
-    def _knows_of_newer(self) -> bool:
+    def _is_newer_revision_known(self) -> bool:
         own = self._views.declaration.revision
         return any(peer.revision > own for peer in self.by_id.values())
 
@@ -165,7 +166,7 @@
         """Call a peer.
 
         Raises:
-            PeerUnreachableError: If it is not in the list or gives no answer.
+            PeerUnreachableError: If it is not in the list or does not respond.
         """
         peer = self.by_id.get(peer_id)
         if peer is None:
@@ -173,37 +174,39 @@
         return peer.link.call(message, timeout)
 
     def pick_witness(self, nonce: str) -> Peer | None:
-        """Choose a live peer to remember a ticket, in another zone if possible."""
+        """Choose a live peer as a ticket's witness, in another zone if possible."""
         alive = [
             peer
             for peer in self.by_id.values()
             if self.is_alive(peer.instance.id) and not peer.stopping
         ]
         own = self._settings.daemon.zone
-        away = [peer for peer in alive if peer.instance.zone != own]
-        choices = away or alive
-        if not choices:
+        remote = [peer for peer in alive if peer.instance.zone != own]
+        candidates = remote or alive
+        if not candidates:
             return None
-        return max(choices, key=lambda peer: rendezvous_weight(peer.instance.id, nonce))
+        return max(
+            candidates, key=lambda peer: rendezvous_weight(peer.instance.id, nonce)
+        )
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take a peer's heartbeat into account and fetch what it has newer."""
+        """Apply a peer's heartbeat and fetch newer versions from the peer."""
         peer = self.by_id.get(heartbeat.sender)
         if peer is None:
             return
         peer.apply_heartbeat(heartbeat)
-        self._note_follower(peer)
+        self._add_follower(peer)
         if heartbeat.echo_incarnation == self._incarnation:
-            self._hear_echo(heartbeat)
-        if self._is_behind(heartbeat) and not self._fetching:
-            self._fetching = True
+            self._handle_echo(heartbeat)
+        if self._is_behind(heartbeat) and not self._is_fetching:
+            self._is_fetching = True
             eventlet.spawn_n(self._fetch, peer)
 
-    def _note_follower(self, peer: Peer) -> None:
-        """Answer an instance that beats from beyond the neighbours.
+    def _add_follower(self, peer: Peer) -> None:
+        """Send heartbeats to a peer that sends some here but is no neighbour.
 
-        It does so because this instance is home to targets that it uses; without an
-        answer it would get no reports and would take those targets for cold.
+        Such a peer uses targets whose home is this instance. Without heartbeats in
+        return it would get no reports and would treat those targets as cold.
         """
         peer_id = peer.instance.id
         if peer_id in self.neighbours or peer_id in self.followers:
@@ -216,16 +219,16 @@
     def _send_to_follower(self, peer: Peer) -> None:
         peer_id = peer.instance.id
         while self.is_alive(peer_id) and peer_id not in self.neighbours:
-            self._socket.send(self._heartbeat(peer), peer.instance.peer_address)
+            self._socket.send(self._make_heartbeat(peer), peer.instance.peer_address)
             self._changed.wait(timeout=self._settings.timing.heartbeat)
         del self.followers[peer_id]
 
-    def _hear_echo(self, heartbeat: Heartbeat) -> None:
-        # Datagrams wait in the socket while this process is paused, so when one is
-        # read says nothing of its age. It was sent after the peer heard the clock
-        # that it echoes, and that bounds its age whatever happened in between. The
-        # peer may itself just have woken up, so it vouches only up to the time when
-        # it last asked the platform, with or without success.
+    def _handle_echo(self, heartbeat: Heartbeat) -> None:
+        # Datagrams queue in the socket while this process is paused, so the time of
+        # reading one does not bound its age. The peer sent it after receiving the
+        # clock value that it echoes, and this does bound its age. The peer itself may
+        # have just resumed from a pause, so it confirms the views only as of the time
+        # when it last queried the platform, with or without success.
         if not self._is_behind(heartbeat):
             self._views.confirm(heartbeat.echo - heartbeat.asked_age)
         for report in heartbeat.reports:
@@ -234,8 +237,8 @@
                 target.apply_report(report, sent_at=heartbeat.echo)
 
     def _is_behind(self, heartbeat: Heartbeat) -> bool:
-        theirs = (heartbeat.revision, heartbeat.digest)
-        if theirs > self._views.declaration.version:
+        offered = (heartbeat.revision, heartbeat.digest)
+        if offered > self._views.declaration.version:
             return True
         return heartbeat.list_version > self._views.instances.version
 
@@ -243,38 +246,38 @@
         name = peer.instance.id
         try:
             own = self._views.declaration.revision
-            text = peer.link.call(DeclarationQuery(own), _FETCH_LIMIT).text
+            text = peer.link.call(DeclarationQuery(own), _FETCH_TIMEOUT).text
             if text:
                 self._views.offer_declaration(text, source=f"peer {name}")
             version = self._views.instances.version
-            payload = peer.link.call(InstancesQuery(version), _FETCH_LIMIT).payload
+            payload = peer.link.call(InstancesQuery(version), _FETCH_TIMEOUT).payload
             if payload:
                 offered = parse_instances(payload)
                 self._views.offer_instances(offered, source=f"peer {name}")
         except (PeerUnreachableError, ValueError) as error:
             self._decisions.record("", "fetch", "", f"from peer {name}: {error}")
         finally:
-            self._fetching = False
+            self._is_fetching = False
 
     def _choose_neighbours(self) -> None:
-        """Keep heartbeats to a bounded number of peers, symmetric between both ends.
+        """Choose a bounded number of peers for heartbeats, symmetrically.
 
-        Everybody with everybody costs a daemon traffic that grows with the fleet.
-        On a ring sorted by zone and id each instance beats with those some steps
-        away on both sides.
+        In a full mesh the traffic of each daemon would grow with the fleet. Instead
+        the instances form a ring sorted by zone and id, and each one exchanges
+        heartbeats with those at fixed distances in both directions.
         """
         ring = sorted([*self.by_id, self._settings.daemon.id], key=self._ring_key)
         bound = self._settings.limits.neighbours
         if len(ring) - 1 <= bound:
             chosen = [peer_id for peer_id in ring if peer_id in self.by_id]
         else:
-            place = ring.index(self._settings.daemon.id)
-            steps = _ring_steps(len(ring), bound)
-            chosen = [ring[(place + step) % len(ring)] for step in steps]
+            position = ring.index(self._settings.daemon.id)
+            offsets = _ring_offsets(len(ring), bound)
+            chosen = [ring[(position + offset) % len(ring)] for offset in offsets]
         followed = [home for home in self._homes.followed if home in self.by_id]
-        fresh = {peer_id: self.by_id[peer_id] for peer_id in [*chosen, *followed]}
-        added = [p for i, p in fresh.items() if self.neighbours.get(i) is not p]
-        self.neighbours = fresh
+        neighbours = {peer_id: self.by_id[peer_id] for peer_id in [*chosen, *followed]}
+        added = [p for i, p in neighbours.items() if self.neighbours.get(i) is not p]
+        self.neighbours = neighbours
         for peer in added:
             eventlet.spawn_n(self._send_heartbeats, peer)
 
@@ -286,10 +289,10 @@
     def _send_heartbeats(self, peer: Peer) -> None:
         peer_id = peer.instance.id
         while self.neighbours.get(peer_id) is peer:
-            self._socket.send(self._heartbeat(peer), peer.instance.peer_address)
+            self._socket.send(self._make_heartbeat(peer), peer.instance.peer_address)
             self._changed.wait(timeout=self._settings.timing.heartbeat)
 
-    def _heartbeat(self, peer: Peer) -> Heartbeat:
+    def _make_heartbeat(self, peer: Peer) -> Heartbeat:
         declaration = self._views.declaration
         return Heartbeat(
             sender=self._settings.daemon.id,
@@ -307,11 +310,11 @@
         )
 
 
-def _ring_steps(size: int, bound: int) -> list[int]:
-    """Steps around a ring, each with its opposite, growing by an even factor.
+def _ring_offsets(size: int, bound: int) -> list[int]:
+    """Return distances around a ring, growing by an even factor, and their opposites.
 
-    Like the digits of a number they lead anywhere in few hops.
+    As with the digits of a number, any position can be reached in few hops.
     """
     half = max(1, bound // 2)
-    steps = {max(1, round(size ** (power / half))) for power in range(half)}
-    return sorted(steps | {size - step for step in steps})
+    offsets = {max(1, round(size ** (power / half))) for power in range(half)}
+    return sorted(offsets | {size - offset for offset in offsets})
--- a/packages/daemon/bergamotsaddle_daemon/pipelines.py
+++ b/packages/daemon/bergamotsaddle_daemon/pipelines.py
@@ -1,4 +1,4 @@
-"""Serves a request through the stages of its pipeline."""
+"""Runs a request through the stages of its pipeline."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -20,12 +20,12 @@
 
 
 class PipelineBody(msgspec.Struct):
-    """What a caller posts to a pipeline.
+    """The body of a caller's request to a pipeline.
 
     Attributes:
         input: The question or task.
-        stream: Whether tokens are wanted as they arrive.
-        max_tokens: Bound on the generated tokens.
+        stream: Whether to send tokens as they arrive.
+        max_tokens: Maximum number of generated tokens.
     """
 
     input: str
@@ -34,20 +34,20 @@
 
 
 class StageBody(msgspec.Struct):
-    """What a target of a stage is asked: the input and the stage before's output."""
+    """The body of a request to a target: the input and the previous stage's output."""
 
     input: str
     previous: Any
 
 
 class StageOutput(msgspec.Struct):
-    """What a target of a stage answers."""
+    """The body of a target's response."""
 
     output: Any
 
 
 def parse_pipeline_body(body: bytes) -> PipelineBody:
-    """Read what a caller posted.
+    """Parse the body of a caller's request.
 
     Raises:
         RequestError: If it is malformed.
@@ -63,12 +63,12 @@
 
 
 class PipelineRun:
-    """One request on its way through its pipeline.
+    """The run of one request through its pipeline.
 
     Args:
         request: The request.
-        pipeline: The pipeline as declared when the request came.
-        body: What the caller posted.
+        pipeline: The pipeline as declared when the request arrived.
+        body: The parsed body of the request.
         stages: Calls stages.
         relay: Runs the generate stage.
     """
@@ -91,25 +91,25 @@
         self.output: Any = None
 
     def check_admission(self, pools: Pools) -> None:
-        """Refuse a request that is not expected to make its deadline.
+        """Reject a request that is not expected to meet its deadline.
 
         Raises:
-            RequestError: With the time after which to ask again.
+            RequestError: If it is rejected, with the time after which to retry.
         """
         for index in range(len(self._pipeline.stages)):
-            stage = self._stage(index)
+            stage = self._make_stage(index)
             need = self._stages.call_requirements(self.request, stage, frozenset())
             pools.check_admission(need)
 
     def run(self) -> Iterator[bytes]:
-        """Call stage after stage; yields only the events of a generate stage.
+        """Call the stages in order and yield the events of a generate stage.
 
         Raises:
-            RequestError: If the answer can't be completed.
+            RequestError: If the response can't be completed.
         """
         previous: Any = None
         for index, kind in enumerate(self._pipeline.stages):
-            stage = self._stage(index)
+            stage = self._make_stage(index)
             if kind == _GENERATE:
                 yield from self._generate(stage, previous)
                 previous = "".join(self.tokens)
@@ -120,20 +120,20 @@
         self.output = previous
 
     def _generate(self, stage: Stage, previous: Any) -> Iterator[bytes]:
-        prompt = self._prompt(previous)
+        prompt = self._build_prompt(previous)
         generation = GenerationParams(stage.model, prompt, self._body.max_tokens)
         stream = TokenStream(self.request, generation)
         self.tokens = stream.tokens
         prefix = prompt[:_PREFIX_CHARACTERS]
         yield from self._relay.run(stream, stage._replace(prefix=prefix))
 
-    def _prompt(self, previous: Any) -> str:
+    def _build_prompt(self, previous: Any) -> str:
         if previous is None:
             return self._body.input
         context = msgspec.json.encode(previous).decode()
         return f"{self._body.input}\n{context}"
 
-    def _stage(self, index: int) -> Stage:
+    def _make_stage(self, index: int) -> Stage:
         kind = self._pipeline.stages[index]
         later = self._pipeline.stages[index + 1 :]
         if kind == _GENERATE:
--- a/packages/daemon/bergamotsaddle_daemon/platform.py
+++ b/packages/daemon/bergamotsaddle_daemon/platform.py
@@ -14,14 +14,14 @@
 
 _CONFIG_PATH = "/v1/values/declaration"
 _INSTANCES_PATH = "/v1/instances"
-_ANSWER_MARGIN = 1.0
-_BACKOFF = 0.5
+_RESPONSE_MARGIN = 1.0
+_RETRY_DELAY = 0.5
 _NOT_MODIFIED = 304
 _OK = 200
 
 
 class PublishedValue(NamedTuple):
-    """A published value and the tag that names this version of it."""
+    """A published value and the tag of its version."""
 
     tag: str
     payload: bytes
@@ -31,17 +31,17 @@
     """Reads one published value."""
 
     def read(self, tag: str, wait: float) -> PublishedValue | None:
-        """Read the value once it differs from a tag.
+        """Read the value once its tag differs from a given one.
 
         Args:
-            tag: The version already known, or an empty string.
+            tag: Tag of the known version, or an empty string.
             wait: Seconds that the service may wait for a change.
 
         Returns:
-            The value, or None if it is still the known one.
+            The value, or None if it has not changed.
 
         Raises:
-            PlatformUnreachableError: If the service gave no usable answer.
+            PlatformUnreachableError: If the service gave no usable response.
         """
 
 
@@ -60,41 +60,43 @@
         )
 
     def read(self, tag: str, wait: float) -> PublishedValue | None:
-        """Read the value once it differs from a tag."""
+        """Read the value once its tag differs from a given one."""
         fields = {"after": tag, "wait": f"{wait:.3f}"}
-        # A watch whose connection was dropped in between would wait for ever and
-        # this instance would miss all changes; past the service's own wait the
-        # connection is given up and a new one opened.
-        timeout = urllib3.Timeout(connect=_ANSWER_MARGIN, read=wait + _ANSWER_MARGIN)
+        # A watch whose connection was silently dropped would wait forever, and this
+        # instance would miss all changes. So the read times out shortly after the
+        # service's own wait, and the next one opens a new connection.
+        timeout = urllib3.Timeout(
+            connect=_RESPONSE_MARGIN, read=wait + _RESPONSE_MARGIN
+        )
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 "GET", self._path, fields=fields, timeout=timeout
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise PlatformUnreachableError(str(error)) from error
-        if answer.status == _NOT_MODIFIED:
+        if response.status == _NOT_MODIFIED:
             return None
-        if answer.status != _OK:
-            raise PlatformUnreachableError(f"status {answer.status}")
-        return PublishedValue(answer.headers.get("ETag", ""), answer.data)
+        if response.status != _OK:
+            raise PlatformUnreachableError(f"status {response.status}")
+        return PublishedValue(response.headers.get("ETag", ""), response.data)
 
 
 def make_config_reader(settings: Settings) -> HttpReader:
-    """Make the reader of the declaration."""
+    """Create the reader of the declaration."""
     return HttpReader(settings.platform.config_address, _CONFIG_PATH)
 
 
 def make_instances_reader(settings: Settings) -> HttpReader:
-    """Make the reader of the instance list."""
+    """Create the reader of the instance list."""
     return HttpReader(settings.platform.instances_address, _INSTANCES_PATH)
 
 
 class PlatformWatch:
-    """Keeps the views up to date with the platform, one green thread a value.
+    """Keeps the views up to date with the platform, with one green thread per value.
 
     Args:
         settings: The daemon's settings.
-        views: What to keep up to date.
+        views: The views to update.
         config: Reads the declaration.
         instances: Reads the instance list.
     """
@@ -115,7 +117,7 @@
         self.instances_error = ""
 
     def watch_declaration(self) -> None:
-        """Follow the declaration for ever."""
+        """Watch the declaration forever."""
         tag = ""
         while True:
             asked_at = now()
@@ -124,7 +126,7 @@
             except PlatformUnreachableError as error:
                 self.config_error = str(error)
                 self._views.platform_queried_at = asked_at
-                eventlet.sleep(_BACKOFF)
+                eventlet.sleep(_RETRY_DELAY)
                 continue
             self.config_error = ""
             if value is not None:
@@ -136,7 +138,7 @@
             eventlet.sleep(self._timing.watch_pause)
 
     def watch_instances(self) -> None:
-        """Follow the instance list for ever."""
+        """Watch the instance list forever."""
         tag = ""
         while True:
             asked_at = now()
@@ -148,7 +150,7 @@
                     self._views.offer_instances(offered, source="platform")
             except (PlatformUnreachableError, ValueError) as error:
                 self.instances_error = str(error)
-                eventlet.sleep(_BACKOFF)
+                eventlet.sleep(_RETRY_DELAY)
                 continue
             self.instances_error = ""
             self._views.list_read_at = asked_at
--- a/packages/daemon/bergamotsaddle_daemon/reports.py
+++ b/packages/daemon/bergamotsaddle_daemon/reports.py
@@ -1,4 +1,4 @@
-"""Polls the load of the targets that this instance is home to."""
+"""Polls the load of the targets whose home is this instance."""
 
 from collections.abc import Callable
 
@@ -15,19 +15,19 @@
 from bergamotsaddle_daemon.targets import Target, Targets
 
 _LOAD_PATH = "/v1/load"
-_POLL_LIMIT = 0.5
-_REPORTS_AT_ONCE = 40
+_POLL_TIMEOUT = 0.5
+_MAX_REPORTS_PER_HEARTBEAT = 40
 
 
 class _Load(msgspec.Struct):
-    """What a target publishes of its load.
+    """The load that a target publishes.
 
     Attributes:
-        target: Its id.
+        target: Id of the target.
         cold: Whether it is in cold start.
-        in_flight: Calls it works on.
-        age: The lag in seconds.
-        models: Models it has loaded; left out by targets that hold all they may.
+        in_flight: Calls that it is working on.
+        age: Age of the measurement in seconds.
+        models: Models it has loaded; omitted by targets that hold all they may.
     """
 
     target: str
@@ -41,25 +41,25 @@
 
 
 def make_http_load_reader() -> ReadLoad:
-    """Make a reader that asks a target over HTTP."""
+    """Create a function that reads a target's load over HTTP."""
     pool = urllib3.PoolManager(num_pools=256, maxsize=1, retries=False)
 
     def read(address: Address) -> bytes:
         url = f"http://{address}{_LOAD_PATH}"
-        return pool.request("GET", url, timeout=_POLL_LIMIT).data
+        return pool.request("GET", url, timeout=_POLL_TIMEOUT).data
 
     return read
 
 
 class ReportPoll:
-    """Keeps the reports of home targets fresh; peers hear of them by heartbeat.
+    """Keeps the reports of home targets fresh; heartbeats carry them to peers.
 
     Args:
         settings: The daemon's settings.
-        homes: Which targets are this instance's.
-        home: Learns when a target is warm.
-        targets: Get the reports.
-        read_load: Asks one target.
+        homes: The targets whose home is this instance.
+        home: Checks after each poll which targets are warm.
+        targets: Receive the reports.
+        read_load: Reads the load of one target.
     """
 
     def __init__(
@@ -77,21 +77,22 @@
         self._read_load = read_load
 
     def heartbeat_reports(self) -> tuple[TargetReport, ...]:
-        """Fresh reports of the home targets, for heartbeats.
+        """Return the reports of home targets for the next heartbeat.
 
-        Some at a time if there are many: a datagram that the network has to split
-        is lost as soon as one piece is, and the targets would then seem cold.
+        If there are many, each heartbeat carries only some of them. A datagram that
+        the network has to fragment is lost as soon as one fragment is, and the
+        targets would then seem cold.
         """
         own = (self._targets.by_id.get(i) for i in sorted(self._homes.home_since))
-        fresh = [t.report for t in own if t is not None and t.report is not None]
-        if len(fresh) <= _REPORTS_AT_ONCE:
-            return tuple(fresh)
-        beat = int(now() / self._settings.timing.heartbeat)
-        start = beat * _REPORTS_AT_ONCE % len(fresh)
-        return tuple((fresh + fresh)[start : start + _REPORTS_AT_ONCE])
+        reports = [t.report for t in own if t is not None and t.report is not None]
+        if len(reports) <= _MAX_REPORTS_PER_HEARTBEAT:
+            return tuple(reports)
+        heartbeat_number = int(now() / self._settings.timing.heartbeat)
+        start = heartbeat_number * _MAX_REPORTS_PER_HEARTBEAT % len(reports)
+        return tuple((reports + reports)[start : start + _MAX_REPORTS_PER_HEARTBEAT])
 
     def run(self) -> None:
-        """Poll for ever, all home targets at once."""
+        """Poll all home targets concurrently, forever."""
         while True:
             for target_id in list(self._homes.home_since):
                 target = self._targets.by_id.get(target_id)
@@ -101,10 +102,10 @@
             self._home.refresh_grants()
 
     def poll(self, target: Target) -> None:
-        """Ask one target for its load."""
+        """Read the load of one target and record its report."""
         asked_at = now()
         try:
-            with eventlet.Timeout(_POLL_LIMIT):
+            with eventlet.Timeout(_POLL_TIMEOUT):
                 payload = self._read_load(target.declared.address)
             load = msgspec.json.decode(payload, type=_Load)
         except (urllib3.exceptions.HTTPError, OSError, eventlet.Timeout):
--- a/packages/daemon/bergamotsaddle_daemon/server.py
+++ b/packages/daemon/bergamotsaddle_daemon/server.py
@@ -1,4 +1,4 @@
-"""The sockets of a daemon and its way from start to exit."""
+"""Binds the sockets of a daemon and runs it from start to exit."""
 
 import signal
 
@@ -21,7 +21,7 @@
 
 
 class Server:
-    """A daemon with its sockets bound.
+    """A daemon and its bound sockets.
 
     Args:
         settings: The daemon's settings.
@@ -43,46 +43,46 @@
         )
         self._logger = make_logger(settings)
         self.daemon = Daemon(settings, interfaces, self._logger)
-        self._callers = eventlet.listen(
+        self._caller_socket = eventlet.listen(
             settings.daemon.caller_address, backlog=_BACKLOG
         )
-        self._operators = eventlet.listen(settings.daemon.operator_address)
-        self._asked_to_stop = Event()
+        self._operator_socket = eventlet.listen(settings.daemon.operator_address)
+        self._stop_requested = Event()
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then stop gracefully."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._ask_to_stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, self._request_stop)
         self.daemon.spawn()
         self._peer_server.start(self.daemon.handlers())
         eventlet.spawn_n(self._datagrams.receive_forever, self.daemon.peers)
         self._serve_http()
         self._logger.info(
             "listening",
-            callers=str(Address(*self._callers.getsockname())),
-            operators=str(Address(*self._operators.getsockname())),
+            callers=str(Address(*self._caller_socket.getsockname())),
+            operators=str(Address(*self._operator_socket.getsockname())),
             peers=str(self._peer_server.address),
         )
-        self._asked_to_stop.wait()
-        self.daemon.stop(self._callers.close)
+        self._stop_requested.wait()
+        self.daemon.stop(self._caller_socket.close)
         self._peer_server.stop()
 
-    def _ask_to_stop(self, *_: object) -> None:
-        # A signal handler runs between any two lines of some green thread, so it
-        # only leaves a note that the hub picks up.
-        if not self._asked_to_stop.ready():
-            eventlet.spawn_n(self._note_stop)
+    def _request_stop(self, *_: object) -> None:
+        # A signal handler runs between any two lines of some green thread, so it only
+        # schedules a function on the hub.
+        if not self._stop_requested.ready():
+            eventlet.spawn_n(self._signal_stop)
 
-    def _note_stop(self) -> None:
-        if not self._asked_to_stop.ready():
-            self._asked_to_stop.send()
+    def _signal_stop(self) -> None:
+        if not self._stop_requested.ready():
+            self._stop_requested.send()
 
     def _serve_http(self) -> None:
         settings = self._settings
         pool = eventlet.GreenPool(2 * settings.limits.connections)
         eventlet.spawn_n(
             eventlet.wsgi.server,
-            self._callers,
+            self._caller_socket,
             self.daemon.callers,
             custom_pool=pool,
             log_output=False,
@@ -92,7 +92,7 @@
         )
         eventlet.spawn_n(
             eventlet.wsgi.server,
-            self._operators,
+            self._operator_socket,
             self.daemon.operators,
             log_output=False,
             debug=False,
--- a/packages/daemon/bergamotsaddle_daemon/settings.py
+++ b/packages/daemon/bergamotsaddle_daemon/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon, read from an INI file and checked at start."""
+"""The settings of one daemon, read from an INI file and validated at start."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple, get_type_hints
@@ -21,7 +21,7 @@
 
 
 def parse_peer_key(text: str) -> bytes:
-    """Read the key that all instances of a deployment share.
+    """Parse the key that all instances of a deployment share.
 
     Raises:
         ValueError: If the key is shorter than 16 characters.
@@ -32,15 +32,15 @@
 
 
 class DaemonSettings(NamedTuple):
-    """Who this instance is and where it listens (``[daemon]``).
+    """Identity and addresses of this instance (``[daemon]``).
 
     Attributes:
-        id: Name of this instance, as in the platform's list.
+        id: Name of this instance, as in the platform's instance list.
         zone: Its availability zone.
         peer_key: Shared by all instances; signs datagrams and tickets.
-        caller_address: Where callers connect; port 0 lets the kernel pick.
-        operator_address: Where operators and probes connect.
-        peer_address: Where other instances connect, TCP and UDP alike.
+        caller_address: Address for callers; with port 0 the kernel picks the port.
+        operator_address: Address for operators and probes.
+        peer_address: Address for other instances, both TCP and UDP.
     """
 
     id: str
@@ -52,7 +52,7 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Where the platform publishes (``[platform]``)."""
+    """Addresses at which the platform publishes (``[platform]``)."""
 
     config_address: Address
     instances_address: Address
@@ -62,24 +62,24 @@
     """Intervals and time limits in seconds (``[timing]``).
 
     Attributes:
-        heartbeat: Between two heartbeats to one neighbour.
-        peer_silence: After which a silent peer counts as unreachable.
-        watch_wait: How long the platform may hold a watch.
-        watch_pause: Between two reads of the platform at least.
+        heartbeat: Interval between two heartbeats to one neighbour.
+        peer_silence: Time without a heartbeat after which a peer is unreachable.
+        watch_wait: Longest time that the platform may hold a watch.
+        watch_pause: Shortest interval between two reads of the platform.
         view_limit: Age at which a view counts as stale.
-        list_lag: How far the platform's list may lag behind.
-        permit_lifetime: Longest time a permit for a cold target is good for.
-        ticket_lifetime: From a ticket's issue to the last start of its request.
-        ticket_memory: How long starts and outcomes of tickets are remembered.
+        list_lag: Longest time that the platform's instance list may lag behind.
+        permit_lifetime: Longest time that a permit for a cold target is valid.
+        ticket_lifetime: Time from a ticket's issue to the last start of its request.
+        ticket_memory: Time for which starts and outcomes of tickets are kept.
         peer_call: Time limit of a short call to a peer.
-        report_poll: Between two polls of a target's load.
-        report_limit: Age at which a target's report counts for nothing.
+        report_poll: Interval between two polls of a target's load.
+        report_limit: Age at which a target's report is ignored.
         token_silence: Longest gap between two tokens before a stream is resumed.
         connect: Time limit for connecting to a target.
-        placement: Between two looks at which models sit where.
+        placement: Interval between two checks of the placement of models.
         load_model: Longest time that loading a model may take.
-        return_ramp: Over which a returning zone's share of work grows to full.
-        stop_notice: Between the ready probe going down and the listener closing.
+        return_ramp: Time over which a returning zone's share of work grows to full.
+        stop_notice: Time between the ready probe failing and the listener closing.
         stop_limit: Longest wait for running requests at a planned stop.
         header: Time limit for a caller to send its request.
     """
@@ -107,20 +107,20 @@
 
 
 class LimitSettings(NamedTuple):
-    """Bounds on what this instance holds (``[limits]``).
+    """Bounds on the resources of this instance (``[limits]``).
 
     Attributes:
-        body_bytes: Largest request body.
-        connections: Connections of callers at once.
+        body_bytes: Size of the largest request body.
+        connections: Concurrent connections of callers.
         queue: Requests waiting for one kind of target.
-        tickets: Tickets whose starts and outcomes are remembered.
+        tickets: Tickets whose starts and outcomes are kept.
         decisions: Requests whose decisions ``explain`` can show.
-        neighbours: Peers that get heartbeats; a fleet of no more is a full mesh.
+        neighbours: Peers that receive heartbeats; a fleet of no more is a full mesh.
         followed_homes: In a larger fleet, homes whose targets are used.
-        followers: Instances beyond the neighbours that get this one's reports.
+        followers: Instances other than neighbours that receive this one's reports.
         retry_percent: Retries per hundred calls of a team to a kind of target.
         hedge_percent: Hedges per hundred calls of a team to a kind of target.
-        peer_workers: Calls of peers served at once.
+        peer_workers: Concurrent calls of peers.
     """
 
     body_bytes: int = 1_000_000
@@ -137,12 +137,12 @@
 
 
 class PolicySettings(NamedTuple):
-    """Which variant decides (``[policies]``).
+    """Names of the policies in use (``[policies]``).
 
     Attributes:
         routing: Chooses a target among candidates.
-        limit: How many calls this instance has at one target at once.
-        admission: Whether requests that can't make their deadline are refused.
+        limit: Limits this instance's concurrent calls to one target.
+        admission: Decides whether to reject requests that can't meet their deadline.
     """
 
     routing: str = "least_of_few"
@@ -175,15 +175,15 @@
 
 
 def parse_settings(text: str, *, name: str = "settings") -> Settings:
-    """Read and check a daemon's settings.
+    """Parse and validate a daemon's settings.
 
     Raises:
-        InvalidFileError: With every fault of the file.
+        InvalidFileError: If the file has faults, with all of them.
     """
     ini = IniFile(text, name=name)
     sections = {
-        section: _read_section(ini, section, kind)
-        for section, kind in get_type_hints(Settings).items()
+        section: _read_section(ini, section, section_type)
+        for section, section_type in get_type_hints(Settings).items()
     }
     for section in ini.sections:
         if section not in sections:
@@ -192,11 +192,13 @@
     return Settings(**sections)
 
 
-def _read_section(ini: IniFile, section: str, kind: Any) -> Any:
+def _read_section(ini: IniFile, section: str, section_type: Any) -> Any:
     values = {}
-    for field, field_type in get_type_hints(kind).items():
+    for field, field_type in get_type_hints(section_type).items():
         parse = _PARSER_BY_TYPE[field_type]
         if section == "policies":
             parse = _PARSER_BY_POLICY[field]
-        values[field] = ini.get(section, field, parse, kind._field_defaults.get(field))
-    return kind(**values)
+        values[field] = ini.get(
+            section, field, parse, section_type._field_defaults.get(field)
+        )
+    return section_type(**values)
--- a/packages/daemon/bergamotsaddle_daemon/streams.py
+++ b/packages/daemon/bergamotsaddle_daemon/streams.py
@@ -21,8 +21,8 @@
 from bergamotsaddle_daemon.stages import Stage, StageCaller
 
 _EVENT_END = b"\n\n"
-_DATA = b"data: "
-_COMMENT = b":"
+_DATA_PREFIX = b"data: "
+_COMMENT_PREFIX = b":"
 _MAX_EVENT_BYTES = 65_536
 
 
@@ -31,7 +31,7 @@
 
     Attributes:
         request: The request it belongs to.
-        index: Number of the token, from 0; the number of tokens when done.
+        index: Index of the token, from 0; the number of tokens when done.
         text: The token.
         done: Whether the stream is complete.
     """
@@ -43,12 +43,12 @@
 
 
 class GenerationParams(NamedTuple):
-    """What to generate.
+    """Parameters of one generation.
 
     Attributes:
         model: The model.
-        prompt: The whole prompt.
-        max_tokens: Bound on the number of tokens.
+        prompt: The complete prompt.
+        max_tokens: Maximum number of tokens.
     """
 
     model: str
@@ -57,16 +57,16 @@
 
 
 class EngineBody(msgspec.Struct):
-    """What an engine is asked.
+    """The body of a request to an engine.
 
     Attributes:
-        request: The request, named again in each event.
+        request: Id of the request, repeated in each event.
         model: The model.
-        prompt: The whole prompt.
-        max_tokens: Bound on the number of tokens.
-        priority: 1 before 9.
-        start: Index of the first token wanted.
-        generated: The tokens before it, for an engine that doesn't hold the stream.
+        prompt: The complete prompt.
+        max_tokens: Maximum number of tokens.
+        priority: From 1, the most urgent, to 9.
+        start: Index of the first token to send.
+        generated: The tokens before it, for an engine that has not kept the stream.
     """
 
     request: str
@@ -82,11 +82,11 @@
 
 
 class TokenStream:
-    """One request's token stream over however many engine streams it takes.
+    """One request's token stream, assembled from one or more engine streams.
 
     Args:
         request: The request.
-        generation: What to generate.
+        generation: Parameters of the generation.
     """
 
     def __init__(self, request: Request, generation: GenerationParams) -> None:
@@ -96,7 +96,7 @@
         self.is_done = False
 
     def encode_request(self) -> bytes:
-        """What to ask an engine, given the tokens there are."""
+        """Encode a request to an engine for the tokens that are missing."""
         return msgspec.json.encode(
             EngineBody(
                 self.request.id,
@@ -110,17 +110,17 @@
         )
 
     def apply_event(self, payload: bytes) -> bool:
-        """Take one event's data into account.
+        """Apply the data of one event.
 
-        A resumed stream may begin earlier than asked, and one that was crossed
-        with another belongs to somebody else. The caller would see tokens doubled,
-        missing or not its own; request and index in each event tell.
+        A resumed stream may start earlier than requested, and a target may send the
+        stream of another request. The caller would then see repeated, missing or
+        foreign tokens, so the request and the index in each event are checked.
 
         Returns:
             Whether the event holds a new token.
 
         Raises:
-            TargetError: If the event can't belong here.
+            TargetError: If the event does not belong to this stream.
         """
         try:
             event = _EVENT_DECODER.decode(payload)
@@ -144,9 +144,9 @@
 
     Args:
         settings: The daemon's settings.
-        stages: Gives places and decides on retries.
+        stages: Acquires slots at targets and decides on retries.
         connections: Connections to engines.
-        times: Measured costs in time.
+        stage_latencies: Measured latencies of stages.
         costs: Counts calls and tokens.
     """
 
@@ -155,38 +155,38 @@
         settings: Settings,
         stages: StageCaller,
         connections: Connections,
-        times: StageLatencies,
+        stage_latencies: StageLatencies,
         costs: Costs,
     ) -> None:
         self._silence = settings.timing.token_silence
         self._stages = stages
         self._connections = connections
-        self._times = times
+        self._stage_latencies = stage_latencies
         self._costs = costs
 
     def run(self, stream: TokenStream, stage: Stage) -> Iterator[bytes]:
-        """Yield the engine's events as they arrive, without gap or repetition.
+        """Yield the engine's events as they arrive, without gaps or repetition.
 
         Raises:
-            RequestError: If the stream can't be completed; what was yielded before
-                is then only a part of the answer.
+            RequestError: If the stream can't be completed; the events yielded before
+                are then only the start of the response.
         """
         self._stages.count_first_call(stream.request, stage)
-        what = FIRST
+        attempt_kind = FIRST
         failed: frozenset[str] = frozenset()
         while not stream.is_done:
             slot = self._stages.acquire(stream.request, stage, failed)
             try:
-                yield from self._relay(stream, stage, slot, what)
+                yield from self._relay_attempt(stream, stage, slot, attempt_kind)
             except (TargetError, PlaceLostError) as error:
                 self._check_resumable(stream, slot, error)
                 failed |= {slot.target.id}
-                what = self._stages.decide_retry(stream.request, stage, error)
-                if what == RETRY and stream.tokens:
-                    what = RESUME
+                attempt_kind = self._stages.decide_retry(stream.request, stage, error)
+                if attempt_kind == RETRY and stream.tokens:
+                    attempt_kind = RESUME
 
-    def _relay(
-        self, stream: TokenStream, stage: Stage, slot: Slot, what: str
+    def _relay_attempt(
+        self, stream: TokenStream, stage: Stage, slot: Slot, attempt_kind: str
     ) -> Iterator[bytes]:
         request = stream.request
         key = self._stages.cost_key(request, stage)
@@ -195,24 +195,24 @@
         def guard() -> None:
             slot.check_before_send()
             request.mark_sent()
-            self._costs.count_call(key, what)
+            self._costs.count_call(key, attempt_kind)
 
         engine: ResponseStream | None = None
         try:
-            fresh = stage._replace(body=stream.encode_request())
-            call = self._stages.make_call(request, fresh, slot, request.remaining)
+            current = stage._replace(body=stream.encode_request())
+            call = self._stages.make_call(request, current, slot, request.remaining)
             address = slot.target.declared.address
             engine = self._connections.open_stream(address, call, guard)
-            yield from self._events(stream, slot, engine, call.deadline)
+            yield from self._relay_events(stream, slot, engine, call.deadline)
         except TargetError as error:
             slot.fail(error)
             raise
         except BaseException:
-            # Also when the caller has left: closing cancels the engine's work.
+            # Also if the caller has disconnected: closing cancels the engine's work.
             slot.abandon()
             raise
         else:
-            self._times.record(request.name, stage.kind, slot.elapsed())
+            self._stage_latencies.record(request.name, stage.kind, slot.elapsed())
             slot.finish()
         finally:
             if engine is not None:
@@ -220,30 +220,30 @@
             self._costs.count_seconds(key, slot.elapsed())
             self._costs.count_tokens(key, len(stream.tokens) - before)
 
-    def _events(
+    def _relay_events(
         self, stream: TokenStream, slot: Slot, engine: ResponseStream, deadline: float
     ) -> Iterator[bytes]:
-        rest = b""
-        # Before its first token a stream can begin anew elsewhere at no cost to the
-        # caller, so a slow engine is given up sooner then.
+        remainder = b""
+        # Before its first token a stream can restart at another engine at no cost to
+        # the caller, so the limit for a slow engine is shorter until then.
         silence = min(self._silence, slot.first_byte_timeout())
         while not stream.is_done:
             data = engine.read_available(min(silence, deadline - now()))
             if not data:
                 raise TargetError("stream ended early", sent=True)
-            *events, rest = (rest + data).split(_EVENT_END)
-            if len(rest) > _MAX_EVENT_BYTES:
+            *events, remainder = (remainder + data).split(_EVENT_END)
+            if len(remainder) > _MAX_EVENT_BYTES:
                 raise TargetError("event without an end", sent=True)
-            fresh = [
+            new_events = [
                 event + _EVENT_END
                 for event in events
-                if not event.startswith(_COMMENT)
-                and stream.apply_event(event.removeprefix(_DATA))
+                if not event.startswith(_COMMENT_PREFIX)
+                and stream.apply_event(event.removeprefix(_DATA_PREFIX))
             ]
-            if fresh:
+            if new_events:
                 slot.record_response_data()
                 silence = self._silence
-                yield b"".join(fresh)
+                yield b"".join(new_events)
 
     def _check_resumable(
         self, stream: TokenStream, slot: Slot, error: Exception
--- a/packages/daemon/bergamotsaddle_daemon/views.py
+++ b/packages/daemon/bergamotsaddle_daemon/views.py
@@ -1,4 +1,4 @@
-"""What the platform has published, as far as this instance knows."""
+"""The local views of what the platform has published."""
 
 from collections.abc import Callable
 
@@ -16,11 +16,11 @@
 
 
 class Views:
-    """The declaration and the instance list in force; neither ever goes back.
+    """The declaration and the instance list in force; versions never decrease.
 
     Args:
         settings: The daemon's settings.
-        decisions: Gets a line for each declaration taken or refused.
+        decisions: Records each declaration that is applied or rejected.
     """
 
     def __init__(self, settings: Settings, decisions: DecisionLog) -> None:
@@ -35,33 +35,33 @@
         self.list_read_at = _NEVER
         self.confirmed_at = _NEVER
         self.platform_queried_at = _NEVER
-        self._waited_in_vain_at = _NEVER
-        self._watchers: list[Callable[[], None]] = []
+        self._wait_timed_out_at = _NEVER
+        self._listeners: list[Callable[[], None]] = []
         self._confirmed = Event()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Have a function called after each change of either view."""
-        self._watchers.append(callback)
+        """Register a function to be called after each change of either view."""
+        self._listeners.append(callback)
 
     def offer_declaration(self, text: str, *, source: str) -> bool:
-        """Take a declaration if it is valid and newer than the one in force.
+        """Apply a declaration if it is valid and newer than the one in force.
 
-        A service that restarted from an old copy, or a peer that slept, may offer an
-        old one; operators would see a zone they took out get work again. Comparing
-        with what is in force keeps it out whatever its source.
+        A service that restarted from an old copy, or a peer that was paused, may
+        offer an old declaration. With it a zone that operators took out would get
+        work again. So it is compared with the one in force, whatever its source.
 
         Args:
             text: The declaration's text.
             source: Where it came from, for the log.
 
         Returns:
-            Whether it is in force now.
+            Whether it is now in force.
         """
         try:
             current = self.declaration
             offered = parse_declaration(text, name=source, previous=current)
         except InvalidFileError as error:
-            self._refuse(error.faults, source)
+            self._record_rejection(error.faults, source)
             return False
         if source == "service":
             self.service_revision = offered.revision
@@ -82,20 +82,20 @@
         self.applied_at = now()
         choice = f"{offered.revision} {offered.digest[:8]}"
         self._decisions.record("", "declaration", choice, f"newest, from {source}")
-        self._tell()
+        self._notify_listeners()
         return True
 
     def offer_instances(self, offered: InstanceList, *, source: str) -> bool:
-        """Take an instance list if it is newer than the one in force."""
+        """Apply an instance list if it is newer; return whether it is in force."""
         if offered.version <= self.instances.version:
             return offered.version == self.instances.version
         self.instances = offered
         self._decisions.record("", "instances", str(offered.version), source)
-        self._tell()
+        self._notify_listeners()
         return True
 
     def confirm(self, at: float) -> None:
-        """Note that some source was asked at a time and knew nothing newer."""
+        """Record that a source queried at a given time had no newer version."""
         if at <= self.confirmed_at:
             return
         self.confirmed_at = at
@@ -104,40 +104,43 @@
             event.send()
 
     def is_stale(self) -> bool:
-        """Tell whether no source has confirmed the views for too long.
+        """Return whether the views have been unconfirmed for too long.
 
-        A process that was paused wakes up with the views it had. Work sent by them
-        could reach a zone that was taken out meanwhile. The age is counted from
-        before the confirming question was sent, so an answer that waited in a
-        socket during the pause does not make an old view look fresh.
+        A process that resumes from a pause still has its old views. Work routed by
+        them could reach a zone that was taken out in the meantime. The age counts
+        from before the confirming query was sent, so that a response that waited in
+        a socket during the pause does not make old views look fresh.
         """
         return now() - self.confirmed_at > self._settings.timing.view_limit
 
     def wait_until_fresh(self, limit: float) -> bool:
-        """Wait until the views are confirmed, or for a limit in seconds.
+        """Wait until the views are confirmed, for at most a limit in seconds.
 
-        An instance that is cut off from everybody would otherwise wait in each call
-        of each request, for nothing; so after one wait in vain it goes on with what
-        it knows for a while.
+        An instance that is cut off from all sources would otherwise wait in each call
+        of each request. So after a wait that timed out it goes on with stale views,
+        without waiting again, for ``view_limit`` seconds.
+
+        Returns:
+            Whether the views are fresh.
         """
         if not self.is_stale():
             return True
-        if now() - self._waited_in_vain_at < self._settings.timing.view_limit:
+        if now() - self._wait_timed_out_at < self._settings.timing.view_limit:
             return False
         self._confirmed.wait(timeout=limit)
         if self.is_stale():
-            self._waited_in_vain_at = now()
+            self._wait_timed_out_at = now()
         return not self.is_stale()
 
     def list_age(self) -> float:
-        """Seconds since the platform's own list was last asked for."""
+        """Return the seconds since the platform's own list was last read."""
         return now() - self.list_read_at
 
-    def _refuse(self, faults: list[Fault], source: str) -> None:
+    def _record_rejection(self, faults: list[Fault], source: str) -> None:
         self.rejected_faults = faults
         reason = f"{len(faults)} faults, first: {faults[0]}"
         self._decisions.record("", "declaration", "", f"from {source}: {reason}")
 
-    def _tell(self) -> None:
-        for callback in self._watchers:
+    def _notify_listeners(self) -> None:
+        for callback in self._listeners:
             callback()
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -14,7 +14,7 @@
 from bergamotsaddle_daemon.costs import FIRST, HEDGE, RETRY
 from bergamotsaddle_daemon.fair_queue import FairQueue, Waiter
 from bergamotsaddle_daemon.limits import Adaptive
-from bergamotsaddle_daemon.peers import _ring_steps
+from bergamotsaddle_daemon.peers import _ring_offsets
 from bergamotsaddle_daemon.pools import Slot
 from bergamotsaddle_daemon.request import Request
 from bergamotsaddle_daemon.retries import RetryBudget
@@ -239,7 +239,7 @@
 
     @params((10, 8, 2), (39, 8, 4), (350, 8, 8), (700, 8, 10), (350, 4, 20))
     def test_bounded_symmetric_and_few_hops(self, size, bound, most_hops):
-        steps = _ring_steps(size, bound)
+        steps = _ring_offsets(size, bound)
         self.assertLessEqual(len(steps), bound)
         self.assertEqual({size - step for step in steps}, set(steps))
         reached, edge, hops = {0}, {0}, 0
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -32,7 +32,7 @@
     def test_a_heartbeat_fits_one_packet(self):
         reports = self.daemon.reports.heartbeat_reports()
         self.assertEqual(len(reports), 40)
-        beat = self.daemon.peers._heartbeat(self.daemon.peers.by_id["b1"])
+        beat = self.daemon.peers._make_heartbeat(self.daemon.peers.by_id["b1"])
         self.assertLess(len(seal(beat._replace(reports=reports), KEY)), MTU)
 
     def test_peers_take_them_all_for_warm(self):
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -189,7 +189,7 @@
             "b1",
             peer.incarnation,
             peer.clock + 0.1,
-            self.daemon.peers._heartbeat(peer).clock,
+            self.daemon.peers._make_heartbeat(peer).clock,
             self.daemon.incarnation,
             0.0,
             1,
@@ -210,7 +210,7 @@
         self.world.network.separate(["a1"], ["c1"])
         peer = self.daemon.peers.by_id["b1"]
         freeze(30.0)
-        fresh = self.daemon.peers._heartbeat(peer)
+        fresh = self.daemon.peers._make_heartbeat(peer)
         self.daemon.peers.handle_heartbeat(
             fresh._replace(
                 sender="b1",
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -193,5 +193,5 @@
     def test_peer_tells_no_older_list(self):
         daemon = self.world.daemons["a1"]
         version = daemon.views.instances.version
-        answer = daemon._tell_instances(InstancesQuery(version))
+        answer = daemon._handle_instances_query(InstancesQuery(version))
         self.assertEqual(answer.payload, b"")
