--- a/packages/daemon/bergamotsaddle_daemon/datagrams.py
+++ b/packages/daemon/bergamotsaddle_daemon/datagrams.py
@@ -35,6 +35,6 @@
         while True:
             try:
                 datagram = self._socket.recv(_MAX_DATAGRAM_BYTES)
-                peers.hear(open_sealed(datagram, Heartbeat, self._key))
+                peers.handle_heartbeat(open_sealed(datagram, Heartbeat, self._key))
             except (ValueError, OSError):
                 continue
