--- a/packages/daemon/bergamotsaddle_daemon/calls.py
+++ b/packages/daemon/bergamotsaddle_daemon/calls.py
@@ -180,10 +180,10 @@
         idle.append(connection)
 
     def _connect(self, address: Address, call: Call) -> HTTPConnection:
-        limit = min(call.connect_timeout, call.deadline - now())
-        if limit <= 0:
+        timeout = min(call.connect_timeout, call.deadline - now())
+        if timeout <= 0:
             raise TargetError("no time left to connect", sent=False)
-        connection = HTTPConnection(address.host, address.port, timeout=limit)
+        connection = HTTPConnection(address.host, address.port, timeout=timeout)
         try:
             connection.connect()
         except _CONNECTION_ERRORS as error:
@@ -238,8 +238,8 @@
     def _check_response(self, response: BaseHTTPResponse, call: Call) -> None:
         """Reject a response that names another request, stage or attempt.
 
-        A target, or a proxy before it, may respond late or mix up responses. The
-        caller would then get the data of another request.
+        A target, or a proxy before it, may respond late or mix up responses. Without
+        this check the caller would get the data of another request.
         """
         named = (
             response.headers.get(REQUEST_HEADER),
--- a/packages/daemon/bergamotsaddle_daemon/daemon.py
+++ b/packages/daemon/bergamotsaddle_daemon/daemon.py
@@ -229,8 +229,8 @@
         self._hand_over_permits()
         eventlet.sleep(timing.stop_notice)
         close_listener()
-        limit = now() + timing.stop_limit
-        while self._is_busy() and now() < limit:
+        stop_by = now() + timing.stop_limit
+        while self._is_busy() and now() < stop_by:
             eventlet.sleep(_STOP_POLL_INTERVAL)
         self.tickets.hand_over()
         self.logger.info("stopped", requests=self.callers.active)
--- a/packages/daemon/bergamotsaddle_daemon/links.py
+++ b/packages/daemon/bergamotsaddle_daemon/links.py
@@ -127,8 +127,8 @@
             handlers: Handler by type of message.
         """
         self._handlers_by_name = {
-            f"/{_SERVICE}/{kind.__name__}": (kind, handler)
-            for kind, handler in handlers.items()
+            f"/{_SERVICE}/{message_type.__name__}": (message_type, handler)
+            for message_type, handler in handlers.items()
         }
         self._server.start()
 
@@ -143,17 +143,17 @@
         found = self._handlers_by_name.get(handler_call_details.method)
         if found is None:
             return None
-        kind, handler = found
+        message_type, handler = found
 
         def serve(payload: bytes, context: grpc.ServicerContext) -> bytes:
             try:
-                message = open_sealed(payload, kind, self._key)
+                message = open_sealed(payload, message_type, self._key)
             except ValueError as error:
                 context.abort(grpc.StatusCode.PERMISSION_DENIED, str(error))
-            limit = min(
+            timeout = min(
                 _MAX_SERVE_SECONDS, context.time_remaining() or _MAX_SERVE_SECONDS
             )
-            response = self._bridge.call(lambda: handler(message), limit)
+            response = self._bridge.call(lambda: handler(message), timeout)
             return seal(response, self._key)
 
         return grpc.unary_unary_rpc_method_handler(serve)
--- a/packages/daemon/bergamotsaddle_daemon/operators.py
+++ b/packages/daemon/bergamotsaddle_daemon/operators.py
@@ -61,7 +61,7 @@
 
 @PAGES.register("zones")
 def show_zones(daemon: "Daemon") -> list[dict[str, Any]]:
-    """Return each availability zone with its targets and their calls from here."""
+    """Return each availability zone with its targets and this instance's calls."""
     rows = []
     for zone in daemon.views.declaration.zones.values():
         targets = [t for t in daemon.targets.by_id.values() if _zone_of(t) == zone.name]
--- a/packages/daemon/bergamotsaddle_daemon/peers.py
+++ b/packages/daemon/bergamotsaddle_daemon/peers.py
@@ -134,7 +134,7 @@
         changed.send()
 
     def is_alive(self, peer_id: str) -> bool:
-        """Return whether a peer's latest heartbeat is recent enough."""
+        """Return whether a heartbeat of a peer arrived within ``peer_silence``."""
         peer = self.by_id.get(peer_id)
         if peer is None:
             return False
@@ -145,9 +145,9 @@
 
         A replacement instance may start while the configuration service returns an
         old declaration. Serving requests by it would undo what is in force at every
-        other instance. So the instance waits for a heartbeat of each neighbour, or
-        for ``peer_silence`` if some are unreachable, and up to twice as long while a
-        peer has a newer revision. Model: ``ready``.
+        other instance. So the instance waits for a heartbeat of each neighbour, but
+        no longer than ``peer_silence``, as some may be unreachable. While a peer has
+        a newer revision it waits up to twice as long. Model: ``ready``.
         """
         waited = now() - self._started_at
         silence = self._settings.timing.peer_silence
--- a/packages/daemon/bergamotsaddle_daemon/platform.py
+++ b/packages/daemon/bergamotsaddle_daemon/platform.py
@@ -120,12 +120,12 @@
         """Watch the declaration forever."""
         tag = ""
         while True:
-            asked_at = now()
+            queried_at = now()
             try:
                 value = self._config.read(tag, self._timing.watch_wait)
             except PlatformUnreachableError as error:
                 self.config_error = str(error)
-                self._views.platform_queried_at = asked_at
+                self._views.platform_queried_at = queried_at
                 eventlet.sleep(_RETRY_DELAY)
                 continue
             self.config_error = ""
@@ -133,15 +133,15 @@
                 tag = value.tag
                 text = value.payload.decode(errors="replace")
                 self._views.offer_declaration(text, source="service")
-            self._views.platform_queried_at = asked_at
-            self._views.confirm(asked_at)
+            self._views.platform_queried_at = queried_at
+            self._views.confirm(queried_at)
             eventlet.sleep(self._timing.watch_pause)
 
     def watch_instances(self) -> None:
         """Watch the instance list forever."""
         tag = ""
         while True:
-            asked_at = now()
+            queried_at = now()
             try:
                 value = self._instances.read(tag, self._timing.watch_wait)
                 if value is not None:
@@ -153,5 +153,5 @@
                 eventlet.sleep(_RETRY_DELAY)
                 continue
             self.instances_error = ""
-            self._views.list_read_at = asked_at
+            self._views.list_read_at = queried_at
             eventlet.sleep(self._timing.watch_pause)
--- a/packages/daemon/bergamotsaddle_daemon/reports.py
+++ b/packages/daemon/bergamotsaddle_daemon/reports.py
@@ -103,7 +103,7 @@
 
     def poll(self, target: Target) -> None:
         """Read the load of one target and record its report."""
-        asked_at = now()
+        queried_at = now()
         try:
             with eventlet.Timeout(_POLL_TIMEOUT):
                 payload = self._read_load(target.declared.address)
@@ -117,4 +117,4 @@
         report = TargetReport(
             target.id, load.cold, load.in_flight, load.age, load.models
         )
-        target.apply_report(report, sent_at=asked_at)
+        target.apply_report(report, sent_at=queried_at)
--- a/packages/daemon/bergamotsaddle_daemon/streams.py
+++ b/packages/daemon/bergamotsaddle_daemon/streams.py
@@ -158,7 +158,7 @@
         stage_latencies: StageLatencies,
         costs: Costs,
     ) -> None:
-        self._silence = settings.timing.token_silence
+        self._max_token_gap = settings.timing.token_silence
         self._stages = stages
         self._connections = connections
         self._stage_latencies = stage_latencies
@@ -226,9 +226,9 @@
         remainder = b""
         # Before its first token a stream can restart at another engine at no cost to
         # the caller, so the limit for a slow engine is shorter until then.
-        silence = min(self._silence, slot.first_byte_timeout())
+        max_gap = min(self._max_token_gap, slot.first_byte_timeout())
         while not stream.is_done:
-            data = engine.read_available(min(silence, deadline - now()))
+            data = engine.read_available(min(max_gap, deadline - now()))
             if not data:
                 raise TargetError("stream ended early", sent=True)
             *events, remainder = (remainder + data).split(_EVENT_END)
@@ -242,7 +242,7 @@
             ]
             if new_events:
                 slot.record_response_data()
-                silence = self._silence
+                max_gap = self._max_token_gap
                 yield b"".join(new_events)
 
     def _check_resumable(
--- a/packages/daemon/bergamotsaddle_daemon/views.py
+++ b/packages/daemon/bergamotsaddle_daemon/views.py
@@ -21,6 +21,18 @@
     Args:
         settings: The daemon's settings.
         decisions: Records each declaration that is applied or rejected.
+
+    Attributes:
+        declaration: The declaration in force.
+        instances: The instance list in force.
+        applied_at: When the declaration in force was applied.
+        rejected_faults: Faults of an invalid declaration offered since then.
+        revision_conflict: Describes a revision that was published with two contents;
+            empty after a newer one.
+        service_revision: Revision last read from the configuration service.
+        list_read_at: When the platform's instance list was last read.
+        confirmed_at: Time as of which the views are confirmed.
+        platform_queried_at: When the platform was last asked for the declaration.
     """
 
     def __init__(self, settings: Settings, decisions: DecisionLog) -> None:
@@ -113,8 +125,8 @@
         """
         return now() - self.confirmed_at > self._settings.timing.view_limit
 
-    def wait_until_fresh(self, limit: float) -> bool:
-        """Wait until the views are confirmed, for at most a limit in seconds.
+    def wait_until_fresh(self, timeout: float) -> bool:
+        """Wait until the views are confirmed, for at most ``timeout`` seconds.
 
         An instance that is cut off from all sources would otherwise wait in each call
         of each request. So after a wait that timed out it goes on with stale views,
@@ -127,7 +139,7 @@
             return True
         if now() - self._wait_timed_out_at < self._settings.timing.view_limit:
             return False
-        self._confirmed.wait(timeout=limit)
+        self._confirmed.wait(timeout=timeout)
         if self.is_stale():
             self._wait_timed_out_at = now()
         return not self.is_stale()
