--- a/packages/serving/bergamotsaddle_serving/engine_choice.py
+++ b/packages/serving/bergamotsaddle_serving/engine_choice.py
@@ -1,4 +1,7 @@
-"""Decides which engine a request goes to. No input or output here."""
+"""Chooses the engine for a request.
+
+This module does no input or output.
+"""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -7,30 +10,31 @@
 from bergamotsaddle_serving.messages import PromptPart
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 
-# Prompt tokens that an engine reads in a second, before anything was measured.
-FIRST_TOKENS_PER_S = 50_000.0
-# From the last stage's result to the first event, besides reading the prompt.
+# Prompt tokens that an engine prefills per second unless the caller passes a rate.
+DEFAULT_PREFILL_TOKENS_PER_S = 50_000.0
+# From the last stage's result to the first event, not counting the prefill.
 _BASE_S = 0.03
-# What each running request adds to the time of the others' tokens.
+# Time that each running request adds to the tokens of the other requests.
 _PER_RUNNING_S = 0.0015
-# An engine that isn't the prompt's home must be this much faster to be worth reading
-# the shared parts again.
+# An engine other than the preferred one must be this much faster to justify another
+# prefill of the shared parts.
 _MOVE_GAIN_S = 0.15
-# The part of the objective that a prediction may use; the rest absorbs what varies.
-_CAREFUL = 0.8
+# The fraction of the objective that a forecast may use; the remainder absorbs variance.
+_MAX_OBJECTIVE_FRACTION = 0.8
 
 
 class EngineView(NamedTuple):
     """An engine as a candidate.
 
     Attributes:
-        id: Its name.
+        id: Id of the engine.
         zone: Its availability zone.
-        slots: Requests that it runs at once.
-        running: Requests that all instances have there, as far as known.
-        tokens_ahead: Prompt tokens of all instances' requests still to be read.
-        knows: Whether it has read the shared parts lately, by this instance's record.
-        delay: Further seconds to count, as for a target that failed lately.
+        slots: Number of requests that it runs at once.
+        running: Requests of all instances at the engine, as last reported.
+        tokens_ahead: Prompt tokens of all instances' requests that wait for prefill.
+        has_cached_prefix: Whether this instance recently had the engine prefill the
+            shared parts.
+        delay: Extra seconds to count, such as after a recent failure.
     """
 
     id: str
@@ -43,14 +47,14 @@
 
 
 class EngineChoice(NamedTuple):
-    """The decision.
+    """The chosen engine and its expected times.
 
     Attributes:
         engine: The engine.
-        seconds: Expected seconds until the first event, stages among them.
-        finish_seconds: The part of them after the last stage.
-        idle_seconds: The same part if the engine had nothing else to do.
-        reason: Why this one.
+        seconds: Expected seconds until the first event, including all stages.
+        finish_seconds: Seconds of these after the last stage.
+        idle_seconds: Seconds after the last stage if the engine were idle.
+        reason: Why the engine was chosen.
     """
 
     engine: EngineView
@@ -61,33 +65,36 @@
 
 
 def prefix_key(prompt: Sequence[PromptPart]) -> str:
-    """Name of the parts that a prompt shares with others: all but its own last one."""
+    """Return the key of the shared prefix: all parts of a prompt but its last one."""
     shared = prompt[:-1] or prompt
     return "/".join(part.id for part in shared)
 
 
 def unshared_tokens(prompt: Sequence[PromptPart], prompt_tokens: int) -> int:
-    """Tokens that are read even where the shared parts are known."""
+    """Return the tokens that need prefill even with a cached prefix."""
     shared = sum(part.tokens for part in prompt[:-1])
     return max(0, prompt_tokens - shared)
 
 
-def isolate_engine(engines: Sequence[EngineView], work: str) -> list[EngineView]:
-    """The engine for a request under which another one has ended.
+def isolate_engine(engines: Sequence[EngineView], fingerprint: str) -> list[EngineView]:
+    """Return the engine for a suspect request.
 
-    What runs beside it may be lost, so it goes where little runs; and two such requests
-    go to different engines, or the harmless one would be at the next end as well.
+    Requests that run beside a suspect may be lost with the engine, so the suspect goes
+    to one of the less loaded engines. Two suspects go to different engines; otherwise
+    a harmless one would be present at the next crash as well.
 
     Args:
         engines: The candidates.
-        work: Fingerprint of the request.
+        fingerprint: Fingerprint of the request.
 
     Returns:
-        One engine, none if there is none.
+        A list of one engine, empty if there are no candidates.
     """
     by_load = sorted(engines, key=lambda engine: (engine.running, engine.id))
     quiet = by_load[: (len(by_load) + 1) // 2]
-    return sorted(quiet, key=lambda engine: rendezvous_weight(engine.id, work))[-1:]
+    return sorted(quiet, key=lambda engine: rendezvous_weight(engine.id, fingerprint))[
+        -1:
+    ]
 
 
 def choose_engine(
@@ -97,28 +104,29 @@
     *,
     objective: float,
     stage_seconds: Callable[[str], float],
-    tokens_per_s: float = FIRST_TOKENS_PER_S,
+    tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S,
     policy: Policy = FULL_POLICY,
 ) -> EngineChoice | None:
     """Choose an engine for a request.
 
-    Answers bursts about few subjects and fleets in which each instance sees a part of
-    the traffic only. The home of a prompt's shared parts is the same for all instances
-    without a word between them, so the parts are read once and not once an engine. It
-    is left only if it would be too late and another engine is faster by more than the
-    reading costs.
+    This serves bursts about few subjects, and fleets in which each instance sees only a
+    fraction of the traffic. Rendezvous hashing of the shared parts gives all instances
+    the same preferred engine without communication, so the parts are prefilled once
+    rather than once per engine. Another engine is chosen only if the preferred one
+    would be late and the other one is faster by more than the extra prefill costs.
 
     Args:
         engines: The candidates.
         prompt: Parts of the prompt.
-        prompt_tokens: All of its tokens.
+        prompt_tokens: Total number of tokens of the prompt.
         objective: Seconds until the first event is due.
-        stage_seconds: Expected seconds of the stages for an engine in a zone.
-        tokens_per_s: Prompt tokens that an engine reads in a second.
-        policy: Which mechanisms are in force.
+        stage_seconds: Returns the expected seconds of the stages for an engine in a
+            zone.
+        tokens_per_s: Prompt tokens that an engine prefills per second.
+        policy: Mechanisms that are in force.
 
     Returns:
-        The choice, None if there is no engine.
+        The choice, None if there are no candidates.
     """
     if not engines:
         return None
@@ -128,25 +136,30 @@
     )
     own_tokens = unshared_tokens(prompt, prompt_tokens)
     choices = []
-    for place, engine in enumerate(by_weight):
-        is_home = place == 0
-        tokens = own_tokens if is_home or engine.has_cached_prefix else prompt_tokens
+    for rank, engine in enumerate(by_weight):
+        is_preferred = rank == 0
+        tokens = (
+            own_tokens if is_preferred or engine.has_cached_prefix else prompt_tokens
+        )
         finish = _finish_seconds(engine, tokens, tokens_per_s)
         total = stage_seconds(engine.zone) + finish
-        reason = "home" if is_home else "known" if engine.has_cached_prefix else "free"
+        reason = (
+            "home" if is_preferred else "known" if engine.has_cached_prefix else "free"
+        )
         idle = _BASE_S + tokens / tokens_per_s
         choices.append(EngineChoice(engine, total, finish, idle, reason))
-    home = choices[0]
+    preferred = choices[0]
     if not policy.has(Mechanism.ENGINE_HOMES):
         return min(choices, key=lambda choice: choice.seconds)
-    if home.seconds <= _CAREFUL * objective:
-        return home
+    if preferred.seconds <= _MAX_OBJECTIVE_FRACTION * objective:
+        return preferred
     best = min(choices, key=lambda choice: choice.seconds)
-    return best if best.seconds < home.seconds - _MOVE_GAIN_S else home
+    return best if best.seconds < preferred.seconds - _MOVE_GAIN_S else preferred
 
 
 def _finish_seconds(engine: EngineView, tokens: int, tokens_per_s: float) -> float:
-    reading = (engine.tokens_ahead + tokens) / tokens_per_s
+    """Return the expected seconds from the last stage to the first event."""
+    prefill = (engine.tokens_ahead + tokens) / tokens_per_s
     full = max(0, engine.running - engine.slots + 1)
     queueing = full / max(1, engine.slots)
-    return _BASE_S + reading + engine.running * _PER_RUNNING_S + queueing + engine.delay
+    return _BASE_S + prefill + engine.running * _PER_RUNNING_S + queueing + engine.delay
--- a/packages/serving/bergamotsaddle_serving/failure_detector.py
+++ b/packages/serving/bergamotsaddle_serving/failure_detector.py
@@ -1,4 +1,4 @@
-"""Finds out whether peers that may have died still answer."""
+"""Checks whether peers that may have failed still respond."""
 
 from collections.abc import Callable
 
@@ -6,53 +6,54 @@
 
 from bergamotsaddle_daemon.clock import now
 
-# Datagrams may get lost, and slow machines answer late.
-_INQUIRIES = 2
-_ANSWER_S = 0.15
-# A peer that was heard this lately need not be asked.
+# Requests per check, since datagrams may be lost and slow machines respond late.
+_MAX_REQUESTS = 2
+_RESPONSE_S = 0.15
+# A peer that was seen this recently need not be checked.
 _FRESH_S = 0.5
 
 
 class FailureDetector:
-    """Asks missed peers for a heartbeat, and suspects those that stay silent.
+    """Requests heartbeats from unresponsive peers and suspects those that stay silent.
 
-    Answers the sudden death of instances in a large fleet, where heartbeats of one peer
-    come seconds apart. Whoever misses a peer names it in its own heartbeats, and each
-    instance that hears so asks the peer by itself. Its death is thus known everywhere
-    soon, and a lost datagram between two instances costs nobody else anything.
+    This handles the sudden failure of instances in a large fleet, where heartbeats of
+    one peer arrive seconds apart. An instance that gets no response from a peer names
+    it in its own heartbeats, and each instance that receives one checks the peer
+    itself. All instances therefore learn of the failure soon, and a datagram that is
+    lost between two instances has no effect on the other ones.
 
     Args:
-        inquire: Asks a peer for a heartbeat.
-        heard_at: Tells when a peer was heard last, on the hub's clock.
-        suspect: Notes that a peer does not answer.
+        request_heartbeat: Requests a heartbeat from a peer.
+        last_seen_at: Returns when a peer was last seen, on the hub's clock.
+        suspect: Records that a peer does not respond.
     """
 
     def __init__(
         self,
-        inquire: Callable[[str], None],
-        heard_at: Callable[[str], float],
+        request_heartbeat: Callable[[str], None],
+        last_seen_at: Callable[[str], float],
         suspect: Callable[[str], None],
     ) -> None:
-        self._inquire = inquire
-        self._heard_at = heard_at
+        self._request_heartbeat = request_heartbeat
+        self._last_seen_at = last_seen_at
         self._suspect = suspect
-        self._asked: set[str] = set()
+        self._pending: set[str] = set()
 
     def verify(self, peer_id: str) -> None:
-        """Find out in the background whether a peer answers."""
-        if peer_id in self._asked or now() - self._heard_at(peer_id) < _FRESH_S:
+        """Check in the background whether a peer responds."""
+        if peer_id in self._pending or now() - self._last_seen_at(peer_id) < _FRESH_S:
             return
-        self._asked.add(peer_id)
-        eventlet.spawn_n(self._await_answer, peer_id)
+        self._pending.add(peer_id)
+        eventlet.spawn_n(self._await_heartbeat, peer_id)
 
-    def _await_answer(self, peer_id: str) -> None:
-        asked_at = now()
+    def _await_heartbeat(self, peer_id: str) -> None:
+        requested_at = now()
         try:
-            for _ in range(_INQUIRIES):
-                self._inquire(peer_id)
-                eventlet.sleep(_ANSWER_S)
-                if self._heard_at(peer_id) >= asked_at:
+            for _ in range(_MAX_REQUESTS):
+                self._request_heartbeat(peer_id)
+                eventlet.sleep(_RESPONSE_S)
+                if self._last_seen_at(peer_id) >= requested_at:
                     return
             self._suspect(peer_id)
         finally:
-            self._asked.discard(peer_id)
+            self._pending.discard(peer_id)
--- a/packages/serving/bergamotsaddle_serving/fingerprint.py
+++ b/packages/serving/bergamotsaddle_serving/fingerprint.py
@@ -1,4 +1,4 @@
-"""Recognises a request that comes again under another id."""
+"""Recognizes a request that is repeated under another id."""
 
 from hashlib import blake2b
 
@@ -9,23 +9,24 @@
 
 
 def fingerprint(head: RequestHead, team: Team | None, body: bytes) -> str:
-    """Name what a request asks for, whoever takes it and under whatever id.
+    """Return a digest of what a request asks for, independent of its id.
 
-    Callers give each try an id of its own, so only what is asked, and by whom, tells
-    that it is the same work.
+    Callers give each try an id of its own, so only the content and the team identify
+    repeats of the same request. The digest does not depend on the instance.
 
     Args:
-        head: The request's head.
-        team: Whose request it is, None on public routes.
-        body: Its whole body.
+        head: Head of the request.
+        team: Team that sent it, None on public routes.
+        body: Its complete body.
 
     Returns:
-        16 hexadecimal digits; nothing of the body can be read from them.
+        16 hexadecimal digits, which reveal nothing about the body.
     """
     owner = team.name if team is not None else ""
     digest = blake2b(digest_size=_DIGEST_BYTES)
     for part in (head.method, head.host.encode(), head.path, owner.encode()):
-        # With its length, since two parts could else be joined to the same bytes.
+        # Each part is prefixed with its length, since different parts could otherwise
+        # be joined to the same bytes.
         digest.update(len(part).to_bytes(4, "big") + part)
     digest.update(body)
     return digest.hexdigest()
--- a/packages/serving/bergamotsaddle_serving/gossip.py
+++ b/packages/serving/bergamotsaddle_serving/gossip.py
@@ -1,4 +1,7 @@
-"""Facts that one instance observed and all of them need. No input or output here."""
+"""Facts that one instance observed and that all instances need.
+
+This module does no input or output.
+"""
 
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
@@ -8,29 +11,29 @@
 from bergamotsaddle_serving.peer_messages import Fact
 
 _HASH_BYTES = 8
-# A fact is as old as it was when it was sent, and a little older when it arrives. A
-# contradiction must be newer by more than that to count as later news.
+# A fact carries its age at the time it was sent, so it is slightly older on arrival. An
+# observation must be newer by more than this to replace the stored one.
 _TRANSIT_S = 0.1
 
-Watcher = Callable[[str, float | None], None]
+Listener = Callable[[str, float | None], None]
 
 
 class Topic(NamedTuple):
-    """A kind of facts.
+    """A kind of fact.
 
     Attributes:
-        name: Its name.
-        keep_seconds: Age at which a fact is forgotten.
-        most: Facts that are kept at most.
+        name: Name of the topic.
+        ttl_seconds: Age at which a fact is dropped.
+        max_facts: Maximum number of facts that are kept.
     """
 
     name: str
-    keep_seconds: float
-    most: int
+    ttl_seconds: float
+    max_facts: int
 
 
-class _Held(NamedTuple):
-    """A fact as this instance holds it."""
+class _StoredFact(NamedTuple):
+    """A fact as this instance stores it."""
 
     value: float
     observed_at: float
@@ -41,19 +44,19 @@
     """The facts of one topic."""
 
     def __init__(
-        self, topic: Topic, watcher: Watcher, worth: Callable[[str], float]
+        self, topic: Topic, listener: Listener, priority: Callable[[str], float]
     ) -> None:
         self.topic = topic
-        self.watcher = watcher
-        self.worth = worth
-        self.held_by_key: dict[str, _Held] = {}
+        self.listener = listener
+        self.priority = priority
+        self.stored_by_key: dict[str, _StoredFact] = {}
 
 
 class Gossip:
-    """What all instances tell each other of targets and requests.
+    """Facts about targets and requests that all instances share.
 
-    A fact has a key and a value. The latest observation of a key wins, so that all
-    instances come to hold the same, in whatever order and however often they hear.
+    A fact has a key and a value. The latest observation of a key wins, so all instances
+    converge to the same facts, in whatever order and however often they receive them.
     """
 
     def __init__(self) -> None:
@@ -63,108 +66,115 @@
     def subscribe(
         self,
         topic: Topic,
-        watcher: Watcher,
+        listener: Listener,
         *,
-        worth: Callable[[str], float] = lambda key: 0.0,
+        priority: Callable[[str], float] = lambda key: 0.0,
     ) -> None:
-        """Take part in a topic; facts of topics that are not open are passed over.
+        """Subscribe to a topic; facts of all other topics are ignored.
 
         Args:
             topic: The topic.
-            watcher: Called with the key and the value of each fact that is new or has
-                changed, and with None once it is forgotten.
-            worth: Tells which of too many facts are kept: those of the highest worth.
+            listener: Called with the key and the value of each fact that is new or has
+                changed, and with the key and None once a fact is dropped.
+            priority: Returns the retention priority of a key. If there are too many
+                facts, those of the highest priority are kept.
         """
-        self._table_by_topic[topic.name] = _Table(topic, watcher, worth)
+        self._table_by_topic[topic.name] = _Table(topic, listener, priority)
 
     def record(self, topic: Topic, key: str, value: float) -> Fact | None:
-        """Note what this instance has just observed.
+        """Record an observation of this instance.
 
         Returns:
-            The fact to tell the others, None if it is no news.
+            The fact to send to the other instances, None if its value is not new.
         """
         table = self._table_by_topic[topic.name]
-        known = table.held_by_key.get(key)
+        known = table.stored_by_key.get(key)
         self._put(table, key, value, now())
         if known is not None and known.value == value:
             return None
         return Fact(topic.name, key, value, 0.0)
 
     def merge(self, facts: Sequence[Fact]) -> None:
-        """Take in what another instance told."""
-        moment = now()
+        """Merge facts that another instance sent."""
+        received_at = now()
         for fact in facts:
             table = self._table_by_topic.get(fact.topic)
-            if table is None or fact.age > table.topic.keep_seconds:
+            if table is None or fact.age > table.topic.ttl_seconds:
                 continue
-            observed_at = moment - max(0.0, fact.age)
-            if _is_news(table.held_by_key.get(fact.key), fact.value, observed_at):
+            observed_at = received_at - max(0.0, fact.age)
+            if _is_newer(table.stored_by_key.get(fact.key), fact.value, observed_at):
                 self._put(table, fact.key, fact.value, observed_at)
 
     def value(self, topic: Topic, key: str) -> float | None:
-        """The value of a fact, None if it is unknown."""
-        held = self._table_by_topic[topic.name].held_by_key.get(key)
-        return None if held is None else held.value
+        """Return the value of a fact, None if it is unknown."""
+        stored = self._table_by_topic[topic.name].stored_by_key.get(key)
+        return None if stored is None else stored.value
 
     def drop_expired(self) -> None:
-        """Forget facts that are past their time."""
-        moment = now()
+        """Drop facts that are older than the limit of their topic."""
+        current_time = now()
         for table in self._table_by_topic.values():
-            since = moment - table.topic.keep_seconds
-            held = table.held_by_key
-            for key in [k for k, fact in held.items() if fact.observed_at < since]:
+            since = current_time - table.topic.ttl_seconds
+            stored = table.stored_by_key
+            for key in [k for k, fact in stored.items() if fact.observed_at < since]:
                 self._drop(table, key)
 
     def forget(self, topic: Topic, key: str) -> None:
-        """Forget a fact that is of no use any more."""
+        """Drop a fact that is not needed any more."""
         table = self._table_by_topic[topic.name]
-        if key in table.held_by_key:
+        if key in table.stored_by_key:
             self._drop(table, key)
 
     @property
     def digest(self) -> int:
-        """The same number at all instances that hold the same facts; 0 for none."""
+        """Digest that is equal at all instances with the same facts; 0 for none."""
         return self._digest
 
     def facts(self) -> list[Fact]:
-        """All facts that are held, those of most worth first."""
-        moment = now()
-        by_worth = [
-            (table.worth(key), Fact(name, key, held.value, moment - held.observed_at))
+        """Return all stored facts, those of the highest retention priority first."""
+        current_time = now()
+        by_priority = [
+            (
+                table.priority(key),
+                Fact(name, key, stored.value, current_time - stored.observed_at),
+            )
             for name, table in self._table_by_topic.items()
-            for key, held in table.held_by_key.items()
+            for key, stored in table.stored_by_key.items()
         ]
-        by_worth.sort(key=lambda pair: pair[0], reverse=True)
-        return [fact for _, fact in by_worth]
+        by_priority.sort(key=lambda pair: pair[0], reverse=True)
+        return [fact for _, fact in by_priority]
 
-    def _put(self, table: _Table, key: str, value: float, moment: float) -> None:
-        known = table.held_by_key.get(key)
+    def _put(self, table: _Table, key: str, value: float, observed_at: float) -> None:
+        known = table.stored_by_key.get(key)
         if known is not None and known.value == value:
-            table.held_by_key[key] = known._replace(observed_at=moment)
+            table.stored_by_key[key] = known._replace(observed_at=observed_at)
             return
         if known is not None:
             self._digest ^= known.hash
         hashed = _hash(table.topic.name, key, value)
-        table.held_by_key[key] = _Held(value, moment, hashed)
+        table.stored_by_key[key] = _StoredFact(value, observed_at, hashed)
         self._digest ^= hashed
-        table.watcher(key, value)
-        if len(table.held_by_key) > table.topic.most:
-            self._drop(table, self._least(table))
+        table.listener(key, value)
+        if len(table.stored_by_key) > table.topic.max_facts:
+            self._drop(table, self._lowest_priority(table))
 
     def _drop(self, table: _Table, key: str) -> None:
-        self._digest ^= table.held_by_key.pop(key).hash
-        table.watcher(key, None)
+        self._digest ^= table.stored_by_key.pop(key).hash
+        table.listener(key, None)
 
-    def _least(self, table: _Table) -> str:
-        held = table.held_by_key
-        return min(held, key=lambda key: (table.worth(key), held[key].observed_at))
+    def _lowest_priority(self, table: _Table) -> str:
+        """Return the key of the fact to drop first."""
+        stored = table.stored_by_key
+        return min(
+            stored, key=lambda key: (table.priority(key), stored[key].observed_at)
+        )
 
 
-def _is_news(known: _Held | None, value: float, observed_at: float) -> bool:
-    """Tell whether an observation replaces the one that is held.
+def _is_newer(known: _StoredFact | None, value: float, observed_at: float) -> bool:
+    """Return whether an observation replaces the stored one.
 
-    The same value again is taken only if it is clearly younger: each hop makes a fact
-    look younger by its time on the way, and would keep it alive for ever.
+    A repeated value is accepted only if it is clearly newer. Each hop makes a fact look
+    younger by its transit time, which would otherwise keep it alive forever.
     """
     if known is None:
         return True
--- a/packages/serving/bergamotsaddle_serving/named_limits.py
+++ b/packages/serving/bergamotsaddle_serving/named_limits.py
@@ -1,4 +1,4 @@
-"""The limits that targets name in their answers."""
+"""Rate limits that targets name in their responses."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -7,71 +7,72 @@
 from bergamotsaddle_serving.gossip import Gossip, Topic
 from bergamotsaddle_serving.peer_messages import Fact
 
-_LIMITS = Topic("limit", keep_seconds=3_600.0, most=5_000)
-_NONE = -1.0
-# A limit is in force now, while most ends of targets have no consequence.
-_WORTH = 100.0
+_LIMITS = Topic("limit", ttl_seconds=3_600.0, max_facts=5_000)
+_NO_LIMIT = -1.0
+# Higher than that of crashes: a limit is in force now, while most crashes of targets
+# have no consequence.
+_PRIORITY = 100.0
 
 
 class NamedLimits:
-    """Requests a second that targets in need take from all instances together.
+    """Requests per second that overloaded targets accept from all instances together.
 
-    An answer tells one instance; the others are told by it. The latest answer of a
-    target counts, and one that names no limit ends it. A new life of a target has
-    named nothing.
+    A response reaches one instance, which sends the limit to all other instances. The
+    latest response of a target counts, and one without a limit ends it. A new
+    incarnation of a target starts without a limit.
 
     Args:
         gossip: Carries the limits to all instances.
-        tell: Tells the others what is new.
-        logger: Gets a line when this instance sees a limit begin, change or end.
+        publish: Sends new facts to the other instances.
+        logger: Gets a line when this instance sees a limit start, change or end.
     """
 
     def __init__(
         self,
         gossip: Gossip,
-        tell: Callable[[Sequence[Fact | None]], None],
+        publish: Callable[[Sequence[Fact | None]], None],
         logger: Any,
     ) -> None:
         self._gossip = gossip
-        self._tell = tell
+        self._publish = publish
         self._logger = logger
         self._limit_by_key: dict[str, float] = {}
-        gossip.subscribe(_LIMITS, self._hear, worth=lambda key: _WORTH)
+        gossip.subscribe(_LIMITS, self._on_fact, priority=lambda key: _PRIORITY)
 
     def record(self, target: Target, limit: float | None) -> None:
-        """Note what an answer of a target says.
+        """Record the limit in a response of a target.
 
         Args:
             target: The target.
-            limit: Requests a second, None if it names none.
+            limit: Requests per second, None if the response names no limit.
         """
         key = _key(target)
         if limit is None and key not in self._limit_by_key:
             return
-        fact = self._gossip.record(_LIMITS, key, _NONE if limit is None else limit)
+        fact = self._gossip.record(_LIMITS, key, _NO_LIMIT if limit is None else limit)
         if fact is None:
             return
         self._logger.warning("limit_named", target=target.id, limit=limit)
-        self._tell([fact])
+        self._publish([fact])
 
     def of(self, target: Target) -> float | None:
-        """The limit that a target names, None if it names none."""
+        """Return the current limit of a target, None if there is none."""
         if not self._limit_by_key:
             return None
         return self._limit_by_key.get(_key(target))
 
-    def keep_only(self, lives: set[tuple[str, int]]) -> None:
-        """Forget the limits of targets that are gone."""
-        kept = {_name(*life) for life in lives}
+    def keep_only(self, incarnations: set[tuple[str, int]]) -> None:
+        """Forget the limits of all other target incarnations."""
+        kept = {_name(*incarnation) for incarnation in incarnations}
         for key in [key for key in self._limit_by_key if key not in kept]:
             self._gossip.forget(_LIMITS, key)
 
     def __len__(self) -> int:
-        """Number of targets that name a limit."""
+        """Number of targets that have a limit."""
         return len(self._limit_by_key)
 
-    def _hear(self, key: str, value: float | None) -> None:
-        if value is None or value == _NONE:
+    def _on_fact(self, key: str, value: float | None) -> None:
+        if value is None or value == _NO_LIMIT:
             self._limit_by_key.pop(key, None)
         else:
             self._limit_by_key[key] = value
--- a/packages/serving/bergamotsaddle_serving/owners.py
+++ b/packages/serving/bergamotsaddle_serving/owners.py
@@ -5,16 +5,17 @@
 
 
 def rank_owners(peers: Peers, service: str, scope: str) -> list[str]:
-    """Instances that may own the queue, the owner first.
+    """Return the instances that may own a queue, the owner first.
 
-    Instances that hear each other come to the same owner without a word between them.
-    While they don't, two may own a queue: the targets' own refusals then keep the
-    calls apart, and pieces may run twice, but requests never do.
+    Rendezvous hashing gives all instances that reach each other the same owner without
+    communication. While they are cut off from each other, two instances may own a
+    queue. The targets' own refusals then keep the calls apart; pieces may run twice,
+    but requests never do.
 
     Args:
-        peers: The instances that live.
+        peers: The live instances.
         service: The stage service.
-        scope: The zone or region whose targets the queue is for.
+        scope: The zone or region whose targets the queue serves.
     """
     key = f"{service} {scope}"
     return sorted(
--- a/packages/serving/bergamotsaddle_serving/policy.py
+++ b/packages/serving/bergamotsaddle_serving/policy.py
@@ -1,4 +1,4 @@
-"""The parts of the policy, each of which can be switched off by a setting."""
+"""The mechanisms of the policy, each of which a setting can switch off."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,62 +7,62 @@
 
 
 class Mechanism(StrEnum):
-    """A part of the policy that can be switched off.
+    """A mechanism of the policy that can be switched off.
 
-    What is left of the policy goes on by itself, so that a deployment can learn what
-    a part is worth under its own load. Promises to callers and targets are none of
-    these: they hold whatever is switched off.
+    The remaining mechanisms keep working, so that a deployment can find out what one of
+    them contributes under its own load. Guarantees to callers and targets are not
+    mechanisms: they hold whatever is switched off.
     """
 
     ADMISSION = "admission"
-    """Requests that are expected to be late are refused before any stage runs."""
+    """Reject requests that are expected to be late before any stage runs."""
     COMING_PIECES = "coming_pieces"
-    """Pieces of admitted requests count at the stages that they will come to."""
+    """Count pieces of admitted requests at the stages that they will reach."""
     EARLY_RELEASE = "early_release"
-    """Inputs are given up once they have been fetched, before the call ends."""
+    """Release inputs once they have been fetched, before the call ends."""
     ENGINE_HOMES = "engine_homes"
-    """Prompts with the same shared parts go to the same engine."""
+    """Send prompts with the same shared parts to the same preferred engine."""
     FATAL_REQUESTS = "fatal_requests"
-    """Requests under which three targets have ended are held back."""
+    """Quarantine requests under which three targets have crashed."""
     FULL_CALLS = "full_calls"
-    """A call waits a moment for room rather than go nearly empty."""
+    """Let a call wait briefly for memory rather than run nearly empty."""
     HOME_ZONES = "home_zones"
-    """Pieces are left to the zone in which most of their inputs are."""
+    """Leave pieces to the zone that holds most of their inputs."""
     LATE_LEAVE = "late_leave"
-    """Newcomers that are late leave long queues."""
+    """Remove late requests that have not started from long queues."""
     OVERTAKING = "overtaking"
-    """Less urgent requests are expected to be overtaken while they wait."""
+    """Expect less urgent requests to be overtaken while they wait."""
     REGION_QUEUES = "region_queues"
-    """The targets of a region share one queue while they are few."""
+    """Let the targets of a region share one queue while there are few of them."""
     ROUTE_RANKS = "route_ranks"
-    """Routes tell requests apart among teams of equal priority."""
+    """Rank requests of teams with equal priority by their routes."""
     SIDE_STAGES_WAIT = "side_stages_wait"
-    """A stage off the longest path waits until it would end with it."""
+    """Delay a stage off the longest path so that it ends with that path."""
     SHARED_READING = "shared_reading"
-    """Instances tell each other how many prompt tokens engines have still to read."""
+    """Report the prompt tokens that wait for prefill at engines to all instances."""
     SMALL_RESULTS = "small_results"
-    """Large results leave room for small ones that wait beside them."""
+    """Let large results leave memory for small ones that wait with them."""
     WAIT_ERRORS = "wait_errors"
-    """Owners of stage queues learn how far off their forecasts are."""
+    """Correct the forecasts of queue owners by their recent errors."""
     STORE_READERS = "store_readers"
-    """An instance of each zone reads the store, and the others learn from it."""
+    """Let one instance per zone read the store and send changes to the other ones."""
     STRONG_OWNERS = "strong_owners"
-    """Only strong machines own stage queues."""
+    """Let only machines with many cores own stage queues."""
     WHOLE_STAGES = "whole_stages"
-    """A stage is begun only if there is room for all of its results."""
+    """Start a stage only if there is memory for all of its results."""
 
 
 class Policy(NamedTuple):
-    """Which mechanisms are in force.
+    """The mechanisms that are in force.
 
     Attributes:
-        off: Those that are switched off.
+        off: Mechanisms that are switched off.
     """
 
     off: frozenset[Mechanism] = frozenset()
 
     def has(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is in force."""
+        """Return whether a mechanism is in force."""
         return mechanism not in self.off
 
 
@@ -70,16 +70,16 @@
 
 
 def parse_policy(text: str) -> Policy:
-    """Read a comma-separated list of mechanisms that are switched off.
+    """Parse a comma-separated list of mechanisms that are switched off.
 
     Raises:
-        ValueError: If a name is unknown or stands twice.
+        ValueError: If a name is unknown or repeated.
     """
     words = parse_words(text)
     for word in words:
         if word not in list(Mechanism):
             known = ", ".join(Mechanism)
-            raise ValueError(f"no mechanism {word!r}; there are {known}")
+            raise ValueError(f"no mechanism is named {word!r}; use one of {known}")
         if words.count(word) > 1:
-            raise ValueError(f"{word!r} stands twice")
+            raise ValueError(f"mechanism {word!r} is listed twice")
     return Policy(frozenset(Mechanism(word) for word in words))
--- a/packages/serving/bergamotsaddle_serving/result_memory.py
+++ b/packages/serving/bergamotsaddle_serving/result_memory.py
@@ -1,97 +1,108 @@
-"""What is known of the results that a stage target holds. No input or output here."""
+"""Accounting of the results that a stage target holds.
+
+This module does no input or output.
+"""
 
 from collections import deque
 
-# After a target said that it has no room, results of that size wait for this long, or
-# until one is given up. Declared sizes are approximate, so the room counted here can be
-# a result too large; asking again at once would meet the same answer every 2 ms.
+# After a target reported that it has no memory for a result, results of that size wait
+# for this long, or until one is released. Declared sizes are approximate, so the memory
+# counted here can be one result too large; an immediate retry would get the same
+# refusal every 2 ms.
 FULL_PAUSE_S = 0.1
-_MOST_DOUBLINGS = 3
-# How long a target's word of results that only others know of is trusted.
-FOREIGN_S = 0.3
-# How old a target's word of its room may be.
-REPORT_LAG_S = 0.6
+_MAX_DOUBLINGS = 3
+# How long a target's report of results that this owner does not know is trusted.
+FOREIGN_TTL_S = 0.3
+# How old a target's report of its free memory may be.
+MAX_REPORT_LAG_S = 0.6
 
 
 class ResultMemory:
-    """The results that a target holds, as far as this owner made it produce them.
+    """The result memory of a target, as far as this owner knows it.
 
     Args:
-        room_bytes: Memory for results.
-        keep_seconds: How long a result is kept if nobody gives it up.
+        memory_bytes: Memory for results.
+        ttl_seconds: How long a result is kept unless it is released.
     """
 
-    def __init__(self, room_bytes: float, keep_seconds: float) -> None:
-        self._room_bytes = room_bytes
-        self._keep_seconds = keep_seconds
+    def __init__(self, memory_bytes: float, ttl_seconds: float) -> None:
+        self._memory_bytes = memory_bytes
+        self._ttl_seconds = ttl_seconds
         self._held_by_handle: dict[str, tuple[float, int]] = {}
         self._reserved = 0
         self._full_until = 0.0
         self._refused_size = 0
         self._refusals = 0
         self._foreign = 0.0
-        self._known: deque[tuple[float, float]] = deque()
+        self._used_history: deque[tuple[float, float]] = deque()
         self._foreign_until = 0.0
 
-    def free_bytes(self, moment: float) -> float:
-        """Bytes that are free, as far as it is known."""
-        left = self._uncounted(moment)
-        if moment < self._foreign_until:
-            left -= self._foreign
-        if moment < self._full_until:
-            return min(left, self._refused_size - 1)
-        return left
-
-    def record_full(self, size: int, moment: float) -> None:
-        """Note that the target had no room for a result of a size."""
-        if moment >= self._full_until:
-            self._refusals = min(self._refusals + 1, _MOST_DOUBLINGS)
-        self._full_until = moment + FULL_PAUSE_S * 2.0 ** (self._refusals - 1)
+    def free_bytes(self, now: float) -> float:
+        """Return the bytes that are free, as far as known."""
+        free = self._unaccounted_bytes(now)
+        if now < self._foreign_until:
+            free -= self._foreign
+        if now < self._full_until:
+            return min(free, self._refused_size - 1)
+        return free
+
+    def record_full(self, size: int, now: float) -> None:
+        """Record that the target had no memory for a result of a size."""
+        if now >= self._full_until:
+            self._refusals = min(self._refusals + 1, _MAX_DOUBLINGS)
+        self._full_until = now + FULL_PAUSE_S * 2.0 ** (self._refusals - 1)
         self._refused_size = size
 
-    def reconcile(self, free: float, moment: float) -> None:
-        """Take in what the target itself says is free.
+    def reconcile(self, free: float, now: float) -> None:
+        """Reconcile the account with the free memory that the target reports.
+
+        After an owner has failed, the target still holds results that only that owner
+        knew. Without this, its successor would call for results that do not fit until
+        the unknown ones expire, seconds later. The report is a few hundred milliseconds
+        old, so it is compared with the maximum that was known to be in use in that
+        time; otherwise results that were released meanwhile would count as unknown.
 
-        After an owner has died, the target still holds results that only the dead one
-        knew of. Without asking, its successor would call for results that have no room
-        until these expire, seconds later. What the target says is some hundred
-        milliseconds old, so it is held against the most that was known to be taken in
-        that time; results given up meanwhile would else count as somebody else's.
+        Args:
+            free: Free bytes that the target reports.
+            now: Current time on the hub's clock.
         """
-        taken = self._room_bytes - free
-        self._note_known(moment)
-        known = max(size for _, size in self._known)
-        self._foreign = max(0.0, taken - known)
-        self._foreign_until = moment + FOREIGN_S
-
-    def _note_known(self, moment: float) -> None:
-        self._known.append((moment, self._room_bytes - self._uncounted(moment)))
-        while self._known[0][0] < moment - REPORT_LAG_S:
-            self._known.popleft()
-
-    def _uncounted(self, moment: float) -> float:
-        for handle, (ends_at, _) in list(self._held_by_handle.items()):
-            if ends_at <= moment:
+        used = self._memory_bytes - free
+        self._record_used(now)
+        known = max(size for _, size in self._used_history)
+        self._foreign = max(0.0, used - known)
+        self._foreign_until = now + FOREIGN_TTL_S
+
+    def _record_used(self, now: float) -> None:
+        self._used_history.append(
+            (now, self._memory_bytes - self._unaccounted_bytes(now))
+        )
+        while self._used_history[0][0] < now - MAX_REPORT_LAG_S:
+            self._used_history.popleft()
+
+    def _unaccounted_bytes(self, now: float) -> float:
+        """Return the bytes that no known result or reservation takes."""
+        for handle, (expires_at, _) in list(self._held_by_handle.items()):
+            if expires_at <= now:
                 del self._held_by_handle[handle]
         held = sum(size for _, size in self._held_by_handle.values())
-        return self._room_bytes - held - self._reserved
+        return self._memory_bytes - held - self._reserved
 
-    def reserve(self, size: int, moment: float) -> None:
-        """Set room aside for the results of a call."""
+    def reserve(self, size: int, now: float) -> None:
+        """Reserve memory for the results of a call."""
         self._reserved += size
-        self._note_known(moment)
+        self._record_used(now)
 
     def release_reservation(self, size: int) -> None:
-        """Give that room back when the call has ended."""
+        """Release the reservation of a call that has ended."""
         self._reserved -= size
 
-    def add(self, handle: str, size: int, moment: float) -> None:
-        """Note a result."""
+    def add(self, handle: str, size: int, now: float) -> None:
+        """Add a result that the target holds."""
         self._refusals = 0
-        self._held_by_handle[handle] = (moment + self._keep_seconds, size)
-        self._note_known(moment)
+        self._held_by_handle[handle] = (now + self._ttl_seconds, size)
+        self._record_used(now)
 
     def release(self, handle: str) -> None:
-        """Note that a result was given up."""
+        """Remove a result that was released."""
         self._held_by_handle.pop(handle, None)
         self._full_until = 0.0
--- a/packages/serving/bergamotsaddle_serving/roster.py
+++ b/packages/serving/bergamotsaddle_serving/roster.py
@@ -1,4 +1,4 @@
-"""The instances that live at one moment, and what follows from what they told."""
+"""The live instances at one moment, and what follows from their reports."""
 
 from collections.abc import Callable, Sequence
 from functools import cached_property
@@ -6,11 +6,18 @@
 
 from bergamotsaddle_serving.peer_messages import Contact
 from bergamotsaddle_serving.stage_load import URGENCIES
-from bergamotsaddle_serving.target_totals import TargetTotals, Told
+from bergamotsaddle_serving.target_totals import TargetTotals, TargetUsage
 
 
-class Member(Told, Protocol):
-    """A living instance and what it told."""
+class Member(TargetUsage, Protocol):
+    """A live instance and its last report.
+
+    Attributes:
+        contact: Id, zone and host of the instance.
+        accepts_work: Whether it accepts work from other instances.
+        cores: Cores of its machine.
+        pending: Pieces of its requests that will reach each queue, by urgency.
+    """
 
     contact: Contact
     accepts_work: bool
@@ -19,17 +26,19 @@
 
 
 class Roster:
-    """All living instances as one value.
+    """An immutable view of all live instances.
 
-    The decisions about one request ask dozens of times who owns a queue and what comes
-    there. Each answer is worked out once, since a walk over hundreds of instances for
-    each question would cost more than serving the request.
+    The decisions about one request query the owner of a queue and its pending work
+    dozens of times. Each result is computed once, since a walk over hundreds of
+    instances for every query would cost more than serving the request.
 
     Args:
-        members: The other instances that live.
-        candidates: Instances that may own queues, this one among them if it may.
-        least_part: Owners have this part of the strongest candidate's strength.
-        region: Tells the region of a zone.
+        members: The other live instances.
+        candidates: Instances that may own queues with their cores, including this one
+            if it may.
+        min_cores_fraction: Owners have at least this fraction of the cores of the
+            strongest candidate.
+        region: Returns the region of a zone.
     """
 
     def __init__(
@@ -42,38 +51,39 @@
     ) -> None:
         self.members = members
         self._candidates = candidates
-        self._least_part = min_cores_fraction
+        self._min_cores_fraction = min_cores_fraction
         self._region = region
         self._owners_by_scope: dict[str, list[str]] = {}
 
     @cached_property
     def totals(self) -> TargetTotals:
-        """What all other instances have at each target."""
+        """Load of all other instances at each target."""
         return TargetTotals(self.members)
 
     @cached_property
-    def coming_by_queue(self) -> dict[tuple[str, str], list[int]]:
-        """Pieces that other instances will send to each queue, by urgency."""
+    def pending_by_queue(self) -> dict[tuple[str, str], list[int]]:
+        """Pieces of other instances that will reach each queue, by urgency."""
         counts: dict[tuple[str, str], list[int]] = {}
         for member in self.members:
-            for service, scope, told in member.pending:
+            for service, scope, pending in member.pending:
                 sums = counts.setdefault((service, scope), [0] * URGENCIES)
-                for urgency, count in enumerate(told):
+                for urgency, count in enumerate(pending):
                     sums[urgency] += count
         return counts
 
     @cached_property
     def active_zones(self) -> set[str]:
-        """Zones in which another instance takes work."""
+        """Zones in which another instance accepts work."""
         return {member.contact.zone for member in self.members if member.accepts_work}
 
     def owners(self, scope: str) -> list[str]:
-        """Instances that can own a queue of a zone or region: its own ones, else all.
+        """Return the instances that can own a queue of a zone or region.
 
-        Those inside can reach its targets whatever is cut off outside. Of these only
-        the strong ones are taken: the owner of a large service makes dozens of calls a
-        second, and one on a weak machine would delay every request of the region while
-        others rest.
+        These are the instances inside it, or all instances if there are none. Instances
+        inside can reach its targets whatever is cut off outside. Only those with many
+        cores qualify: the owner of a large service makes dozens of calls per second,
+        and an owner on a weak machine would delay every request of the region while
+        other machines are idle.
         """
         owners = self._owners_by_scope.get(scope)
         if owners is None:
@@ -87,6 +97,6 @@
             if scope in (contact.zone, self._region(contact.zone))
         ]
         candidates = inside or self._candidates
-        most = max((cores for _, cores in candidates), default=0.0)
-        least = self._least_part * most
-        return [contact.id for contact, cores in candidates if cores >= least]
+        max_cores = max((cores for _, cores in candidates), default=0.0)
+        min_cores = self._min_cores_fraction * max_cores
+        return [contact.id for contact, cores in candidates if cores >= min_cores]
--- a/packages/serving/bergamotsaddle_serving/scopes.py
+++ b/packages/serving/bergamotsaddle_serving/scopes.py
@@ -6,11 +6,11 @@
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 from bergamotsaddle_serving.view import View
 
-# Up to this number of targets in a region they share one queue. A piece then waits for
-# the first free one of them; with a queue and a single target a zone it waits for half
-# a call at each stage. Beyond it, one owner would make over 40 calls a second, a tenth
-# of a core, and zones have enough targets of their own.
-MOST_SHARED = 12
+# Up to this number of targets in a region share one queue. A piece then waits for the
+# first of them that is free; with one queue and one target per zone it would wait for
+# half a call at each stage. With more targets one owner would make over 40 calls per
+# second, which takes a tenth of a core, and zones have enough targets of their own.
+MAX_SHARED_TARGETS = 12
 
 
 class Scopes:
@@ -18,8 +18,8 @@
 
     Args:
         view: The targets.
-        peers: Know the regions of zones.
-        policy: Whether targets share queues.
+        peers: Maps zones to regions.
+        policy: Mechanisms that are in force; they decide whether targets share queues.
     """
 
     def __init__(self, view: View, peers: Peers, policy: Policy = FULL_POLICY) -> None:
@@ -31,7 +31,7 @@
         self._count()
 
     def of(self, service: str, zone: str) -> str:
-        """Name of the region if its targets of a service share a queue, else the zone.
+        """Return the region if its targets of a service share a queue, else the zone.
 
         Args:
             service: A stage service.
@@ -40,9 +40,10 @@
         if not self._policy.has(Mechanism.REGION_QUEUES):
             return zone
         region = self._peers.region(zone)
-        return region if self._counts[service, region] <= MOST_SHARED else zone
+        return region if self._counts[service, region] <= MAX_SHARED_TARGETS else zone
 
     def _count(self) -> None:
+        """Count the targets of each service by region."""
         self._counts = Counter(
             (service, self._peers.region(known.target.zone))
             for service, group in self._view.targets_by_service.items()
--- a/packages/serving/bergamotsaddle_serving/selector.py
+++ b/packages/serving/bergamotsaddle_serving/selector.py
@@ -1,4 +1,4 @@
-"""The targets of a service that may get a request now."""
+"""Selects the targets of a service that may get a request now."""
 
 from typing import NamedTuple
 
@@ -11,8 +11,8 @@
 from bergamotsaddle_serving.view import KnownTarget, View
 from bergamotsaddle_serving.zone_reach import ZoneReach
 
-# What a trip to another zone and back adds, as a part of a request's time there.
-_OTHER_ZONE_S = 0.004
+# Round trip to another zone, which adds to the time of a request there.
+_CROSS_ZONE_S = 0.004
 
 
 class Candidate(NamedTuple):
@@ -20,10 +20,10 @@
 
     Attributes:
         target: The target.
-        state: What this instance has seen of it.
-        is_cold: Whether it is cold.
-        others: Requests that other instances have there, as far as known.
-        tokens_ahead: Prompt tokens that it has still to read, for all instances.
+        state: State of the target as this instance observes it.
+        is_cold: Whether the target is cold.
+        others: Requests of other instances at the target, as last reported.
+        tokens_ahead: Prompt tokens of all instances' requests that wait for prefill.
     """
 
     target: Target
@@ -37,12 +37,12 @@
     """Finds the targets that may get a request.
 
     Args:
-        view: Targets in force.
-        health: What was seen of them.
-        peers: What other instances have at them.
-        cold: Spaces requests to cold ones.
+        view: Current targets.
+        health: States of the targets as this instance observes them.
+        peers: Knows the load of other instances at the targets.
+        cold: Limits the rate of requests to cold targets.
         reach: Knows the zones that are cut off.
-        rates: Knows the targets that have no permit to give.
+        rates: Permits for targets that name a limit.
     """
 
     def __init__(
@@ -62,32 +62,36 @@
         self._reach = reach
 
     def candidates(self, service: str, exclude: set[str]) -> list[Candidate]:
-        """Targets that may get a request.
+        """Return the targets that may get a request.
 
-        Those that failed lately are left out if there is any other. Those in a zone
-        that is cut off always are: a request sent there is lost for up to two seconds,
-        and one that nobody else can serve is better refused at once. So are those that
-        have no permit to give.
+        Targets that failed recently are excluded if there are other ones. Targets in a
+        zone that is cut off are always excluded: a request sent there is lost for up to
+        two seconds, so one that no other target can serve is better rejected at once.
+        Targets without a permit are always excluded as well.
+
+        Args:
+            service: The service.
+            exclude: Ids of targets to leave out.
         """
         found = self._reachable(service, exclude)
         found = [c for c in found if not self._rates.wait(c.target)]
-        return _rested(found)
+        return _without_backoff(found)
 
     def find(self, service: str, target_id: str) -> Candidate | None:
-        """The candidate of an id, whether or not it has another permit to give."""
-        for candidate in _rested(self._reachable(service, set())):
+        """Return the candidate with an id, whether or not it has another permit."""
+        for candidate in _without_backoff(self._reachable(service, set())):
             if candidate.target.id == target_id:
                 return candidate
         return None
 
     def permit_wait(self, service: str) -> float | None:
-        """Seconds until a target may have a permit to give, None if none lacks any."""
+        """Return the seconds until a target may have a permit; None if all may now."""
         targets = [known.target for known in self._view.usable(service)]
         waits = [wait for target in targets if (wait := self._rates.wait(target))]
         return min(waits, default=None)
 
     def reserve(self, candidate: Candidate, request: str, urgency: int) -> bool:
-        """Get a permit for a request to a target, if it needs any."""
+        """Acquire a permit for a request if the target requires one."""
         return self._rates.reserve(candidate.target, request, urgency)
 
     def _reachable(self, service: str, exclude: set[str]) -> list[Candidate]:
@@ -100,41 +104,44 @@
         return [c for c in found if not self._reach.is_lost(c.target.zone)]
 
     def pick(self, service: str, exclude: set[str]) -> Candidate | None:
-        """Pick the target of a plain service that should answer first.
+        """Return the target of a plain service that should respond first.
 
-        Answers bursts at services with a handful of places: expected time is the
-        usual time multiplied by the places that are taken, of all instances as far as
-        they told, so that slow targets get less and no place stays free beside a queue.
+        This serves bursts at services with a handful of slots. The expected time is the
+        usual latency scaled by the slots in use, counting all instances as last
+        reported, so that slow targets get fewer requests and no slot stays free while
+        requests queue at another target.
         """
         found = self.candidates(service, exclude)
         return min(found, key=self._expected, default=None)
 
     def pick_least_loaded(
-        self, service: str, exclude: set[str], work: str
+        self, service: str, exclude: set[str], fingerprint: str
     ) -> Candidate | None:
-        """Pick the target of a plain service that has least to lose.
+        """Return the target of a plain service that runs the fewest requests.
+
+        A suspect request goes there, since a crash would lose the least.
 
         Args:
             service: The service.
-            exclude: Targets that have been tried.
-            work: Fingerprint of a request under which another target has ended.
+            exclude: Ids of targets that have been tried.
+            fingerprint: Fingerprint of the suspect request.
         """
         found = self.candidates(service, exclude)
         return min(
             found,
             key=lambda c: (
                 c.state.in_flight + c.others,
-                rendezvous_weight(c.target.id, work),
+                rendezvous_weight(c.target.id, fingerprint),
             ),
             default=None,
         )
 
     def may_send(self, candidate: Candidate) -> bool:
-        """Tell whether a chosen target may still get the request."""
+        """Return whether a chosen target may still get the request."""
         return self._view.may_get_work(candidate.target)
 
     def record_sent(self, candidate: Candidate, service: Service) -> None:
-        """Note that a request is about to be sent to a target."""
+        """Record that a request is about to be sent to a target."""
         if candidate.is_cold and service.cold_rate > 0:
             self._cold.record_sent(candidate.target.id, service.cold_rate)
 
@@ -151,15 +158,16 @@
         )
 
     def _expected(self, candidate: Candidate) -> float:
+        """Return the expected seconds until a target responds."""
         state = candidate.state
         taken = state.in_flight + candidate.others + state.waiting()
         slots = max(1, candidate.target.slots)
         queueing = max(0.0, taken + 1 - slots) / slots
         crowding = taken / slots
-        trip = 0.0 if candidate.target.zone == self._peers.own.zone else _OTHER_ZONE_S
+        trip = 0.0 if candidate.target.zone == self._peers.own.zone else _CROSS_ZONE_S
         return state.latency * (1.0 + queueing + 0.3 * crowding) + trip
 
 
-def _rested(found: list[Candidate]) -> list[Candidate]:
-    """Those that have not failed lately, all if there are none."""
+def _without_backoff(found: list[Candidate]) -> list[Candidate]:
+    """Return the candidates that have not failed recently, all if there are none."""
     return [c for c in found if not c.state.is_backing_off()] or found
--- a/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -124,7 +124,7 @@
     ) -> list[QueuedPiece]:
         """The pieces that may go into one call; others wait or are given up."""
         suspects = self._ends.suspects
-        fatal = [piece for piece in batch if suspects.is_quarantined(piece.work)]
+        fatal = [piece for piece in batch if suspects.is_quarantined(piece.fingerprint)]
         failed = PieceResult("", PieceFailure.FAILED)
         self._results.finish(queue, [(piece.key, failed) for piece in fatal])
         harmless = [piece for piece in batch if piece not in fatal]
@@ -165,7 +165,7 @@
             results = self._calls.run(worker.target, batch, limit)
         except (ConnectionLostError, ValueError) as error:
             reason = getattr(error, "reason", "")
-            works = sorted({piece.work for piece in batch})
+            works = sorted({piece.fingerprint for piece in batch})
             self._ends.record_failure(worker.target, works, reason)
             self._fail(queue, worker, batch, str(error))
             return
@@ -182,7 +182,7 @@
             eventlet.sleep(_FULL_PAUSE_S)
             return
         worker.learn(now() - began_at, expected)
-        for work in {piece.work for piece in batch}:
+        for work in {piece.fingerprint for piece in batch}:
             self._ends.suspects.record_success(worker.target, work)
         self._logger.info(
             "stage_call",
--- a/packages/serving/bergamotsaddle_serving/stage_load.py
+++ b/packages/serving/bergamotsaddle_serving/stage_load.py
@@ -1,46 +1,47 @@
-"""The work at the queue of a stage service, and when a further stage is done there."""
+"""Load at the queue of a stage service, and the expected time of a further stage."""
 
 from typing import NamedTuple
 
-# Urgencies that are told apart in what owners say of their queues.
+# Number of urgencies that the queue loads of owners distinguish.
 URGENCIES = 6
 
 
 def level(urgency: int) -> int:
-    """The level at which an urgency is counted."""
+    """Return the level at which an urgency is counted."""
     return min(max(0, urgency), URGENCIES - 1)
 
 
-# Places in a queue that are told apart: first requests whose earlier stages have run,
-# in the order in which they are due, then each urgency of those that begin.
+# Number of places in a queue that are distinguished: first the requests whose earlier
+# stages have run, in the order in which they are due, then each urgency of those that
+# have not started.
 PLACES = 1 + URGENCIES
 
 
 def place(urgency: int, *, has_started: bool) -> int:
-    """The place at which pieces are counted; lower ones go first.
+    """Return the place at which pieces are counted; lower ones go first.
 
     Args:
-        urgency: 0 first.
+        urgency: Urgency of the request, 0 first.
         has_started: Whether earlier stages of the request have run.
     """
     return 0 if has_started else 1 + level(urgency)
 
 
-def urgency_of(turn: int) -> int:
-    """The least urgent level of requests that go before a place or share it.
+def urgency_of(queue_place: int) -> int:
+    """Return the least urgent level of requests at a place or before it.
 
-    Begun requests of all urgencies share the first place.
+    Started requests of all urgencies share the first place.
     """
-    return turn - 1 if turn else URGENCIES - 1
+    return queue_place - 1 if queue_place else URGENCIES - 1
 
 
 class StageLoad(NamedTuple):
     """The load at one queue of a stage service.
 
     Attributes:
-        drain: Seconds until what waits there now is done.
+        drain: Seconds until the pieces that wait now are done.
         call: Seconds of a call.
-        rate: Pieces a second.
+        rate: Pieces per second.
     """
 
     drain: float
@@ -48,31 +49,36 @@
     rate: float
 
     def seconds(self, start: float, ahead: float = 0.0) -> float:
-        """Expected seconds of a stage.
+        """Return the expected seconds of a stage.
 
         Args:
-            start: Seconds from now until it is begun; what waits there now is partly
-                done by then.
-            ahead: Pieces that will have come before it.
+            start: Seconds until the stage starts. Some of the pieces that wait now
+                will be done by then.
+            ahead: Pieces that will have arrived before those of the stage.
         """
         drain = self.drain + ahead / max(self.rate, 0.1)
         return max(0.0, drain - start) + self.call
 
 
 class ScopeLoad(NamedTuple):
-    """A zone or region, and the load at its queue of a stage service."""
+    """A zone or region, and the load at its queue of a stage service.
+
+    Attributes:
+        scope: The zone or region.
+        load: The load.
+    """
 
     scope: str
     load: StageLoad
 
 
 class PendingWork:
-    """Pieces of admitted requests that will come to a stage later.
+    """Pieces of admitted requests that will reach a stage later.
 
-    Answers bursts of requests with chains of stages. The queue of a chain's last stage
-    is still short when far more requests than it can do have been admitted; their
-    pieces are still with the first stages. Counting only what waits would admit
-    requests whose results expire in front of the last stage.
+    This serves bursts of requests with chains of stages. The queue of a chain's last
+    stage is still short when far more requests than it can serve have been admitted,
+    because their pieces are still at the first stages. Counting only the waiting pieces
+    would admit requests whose results expire before the last stage.
 
     Attributes:
         changes: Number of changes so far.
@@ -83,7 +89,7 @@
         self.changes = 0
 
     def add(self, service: str, scope: str, urgency: int, pieces: int) -> None:
-        """Count pieces that will come; a negative number takes them back."""
+        """Count pending pieces; a negative number removes them."""
         self.changes += 1
         counts = self._counts.setdefault((service, scope), [0] * URGENCIES)
         counts[level(urgency)] += pieces
@@ -91,10 +97,10 @@
             del self._counts[service, scope]
 
     def pieces_ahead(self, service: str, scope: str, urgency: int) -> int:
-        """Pieces of this or a higher urgency that will come."""
+        """Return the pending pieces of an urgency and all more urgent ones."""
         counts = self._counts.get((service, scope))
         return sum(counts[: level(urgency) + 1]) if counts else 0
 
     def report(self) -> list[tuple[str, str, list[int]]]:
-        """All counts, to be told to others."""
+        """Return all counts for the heartbeats to other instances."""
         return [(*name, counts) for name, counts in self._counts.items()]
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -342,7 +342,7 @@
                 message.input_bytes,
                 zone=zone,
                 zone_bytes=zone_bytes,
-                work=message.fingerprint,
+                fingerprint=message.fingerprint,
             )
         )
         return None
--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -1,4 +1,7 @@
-"""Decides which pieces of stages a target works on next. No input or output here."""
+"""Queue of the stage pieces that wait for a target, and the choice of each call.
+
+This module does no input or output.
+"""
 
 import math
 from collections.abc import Callable, Sequence
@@ -9,40 +12,41 @@
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 from bergamotsaddle_serving.stage_load import PLACES, place
 
-# A call below this part of what it could carry waits for room.
-_WORTH_CALLING = 0.6
-# Among requests that have begun, a step of urgency counts as much as coming so much
-# earlier: enough to go ahead in a burst, too little to be overtaken for ever.
+# A call that would carry less than this fraction of its capacity waits for memory.
+_MIN_CALL_FRACTION = 0.6
+# Among started requests, one step of urgency counts as much as being due this much
+# earlier. That is enough to go ahead in a burst, but too little for a request to be
+# overtaken forever.
 _URGENCY_S = 0.5
-# Requests that have begun go before every urgency of those that have not.
-_BEGUN_FIRST = -1
-# A queue of more calls than this is long.
-_LONG_CALLS = 2
-# How long a request that has not begun may wait in a long queue after it was due there.
+# Sorts started requests before every urgency of requests that have not started.
+_STARTED_FIRST = -1
+# A queue that holds more than this many calls is long.
+_LONG_QUEUE_CALLS = 2
+# How long past its objective a request that has not started may wait in a long queue.
 _LATE_GRACE_S = 0.3
-# A piece that would move so much between zones is left to its own one if time allows.
-# Each piece of a stage fetches all inputs, so a request with 16 pieces after 8 results
-# of 60 kB moves 8 MB.
+# A piece that would move this many bytes between zones is left to its own zone if time
+# allows. Each piece of a stage fetches all inputs, so a request with 16 pieces after 8
+# results of 60 kB moves 8 MB.
 _LARGE_BYTES = 100_000
-# The part of its slack that a piece may lose by waiting for its zone; later stages of
-# its request need the rest.
-_HOME_PART = 0.5
-# A result is small beside one that is so many times as large.
+# The fraction of its slack that a piece may spend on waiting for its zone. The later
+# stages of its request need the remainder.
+_MAX_ZONE_WAIT_FRACTION = 0.5
+# A result is small next to one that is at least this many times as large.
 _SMALL_FACTOR = 20
-# Targets that hold fewer results of a size than this spare no room beside them.
-_FEW_RESULTS = 3
-# Weight of the newest call in the mean number of pieces that a call carries under load.
-_FILL_WEIGHT = 0.2
+# Results of which a target holds fewer than this need not leave memory for small ones.
+_MIN_RESULTS_PER_TARGET = 3
+# Weight of the newest call in the mean number of pieces per call under load.
+_CALL_SIZE_WEIGHT = 0.2
 
 
 class PieceKey(NamedTuple):
-    """What tells a piece from all others.
+    """Unique key of a piece.
 
     Attributes:
         request: Id of the request.
         stage: Number of the stage.
         number: Number of the piece within the stage.
-        round: Counts how often the sender had to begin the stage anew.
+        round: How often the sender has restarted the stage.
     """
 
     request: str
@@ -52,22 +56,22 @@
 
 
 class QueuedPiece(NamedTuple):
-    """A piece that waits.
+    """A piece that waits in the queue.
 
     Attributes:
-        key: Which one.
-        urgency: 0 first.
-        has_begun: Whether earlier stages of its request have run.
-        objective_at: When its result should be there.
-        expires_at: When its result is of no use any more.
-        result_bytes: Room that the result takes.
-        input_key: What to work on, for stages without predecessors.
-        inputs: Handles of the results to work on, else.
+        key: Key of the piece.
+        urgency: Rank of the request, 0 first.
+        has_started: Whether earlier stages of the request have run.
+        objective_at: When the result is due.
+        expires_at: When the result becomes useless.
+        result_bytes: Memory that the result takes.
+        input_key: Input of a stage without predecessors.
+        inputs: Handles of the input results of any other stage.
         input_bytes: Approximate size of all inputs together.
-        tries: Calls that failed with it.
-        zone: Where most of its inputs are or its result is needed.
-        zone_bytes: How much of these is there.
-        work: Fingerprint of its request.
+        failed_calls: Number of failed calls that carried the piece.
+        zone: Zone that holds most of the inputs or needs the result.
+        zone_bytes: Number of bytes that are in that zone.
+        fingerprint: Fingerprint of the request.
     """
 
     key: PieceKey
@@ -82,104 +86,112 @@
     failed_calls: int = 0
     zone: str = ""
     zone_bytes: float = 0.0
-    work: str = ""
+    fingerprint: str = ""
 
 
 class OtherTarget(NamedTuple):
-    """A further target that works on the same queue.
+    """Another target that works on the same queue.
 
     Attributes:
-        zone: Its zone.
-        free_in: Seconds until its call has ended.
-        room_bytes: Room for results that it has left.
+        zone: Availability zone of the target.
+        free_in: Seconds until its current call ends.
+        free_bytes: Free memory for results.
     """
 
     zone: str
     free_in: float
-    room_bytes: float
+    free_bytes: float
+
 
+def rank(piece: QueuedPiece, now: float, expected: float, is_open: bool) -> tuple:
+    """Return the sort key of a piece; the smallest key is next.
 
-def rank(piece: QueuedPiece, moment: float, expected: float, is_open: bool) -> tuple:
-    """Order of pieces; the least one is next.
+    The order serves bursts in which pieces arrive faster than they are done for some
+    seconds. Pieces of a stage that already has results come first, because those
+    results hold memory until the last piece is done. Next come requests whose earlier
+    stages have run, the oldest first: their results hold memory too and expire after
+    some seconds, so a request that every more urgent newcomer overtakes would end as
+    wasted work. Among requests that have not started, urgent ones come first, and
+    within an urgency those that can still be on time; otherwise one late request
+    would make the next one late in turn.
 
-    Answers a burst in which pieces come in faster than they are done for some seconds.
-    First the rest of a stage that has results already: they hold room until the last
-    piece is there. Then requests whose earlier stages have run, the oldest first:
-    their results hold room as well, and expire after some seconds, so one that is
-    overtaken by every newcomer of a more urgent kind ends as work for nothing. Among
-    requests that begin, urgent kinds come first, and among equals those that can still
-    be on time, or one late request would make the next one late in turn.
+    Args:
+        piece: The piece.
+        now: Current time on the hub's clock.
+        expected: Expected seconds of a call.
+        is_open: Whether its stage already has results or running pieces.
     """
-    is_late = piece.objective_at < moment + expected
+    is_late = piece.objective_at < now + expected
     if piece.has_started:
         due = piece.objective_at + piece.urgency * _URGENCY_S
-        return (not is_open, is_late, _BEGUN_FIRST, due, piece.key)
+        return (not is_open, is_late, _STARTED_FIRST, due, piece.key)
     return (not is_open, is_late, piece.urgency, piece.objective_at, piece.key)
 
 
 def isolate_suspects(
     batch: Sequence[QueuedPiece], is_suspect: Callable[[str], bool]
 ) -> tuple[list[QueuedPiece], list[QueuedPiece]]:
-    """Keep requests under which targets have ended out of the calls of others.
+    """Keep suspect requests out of the calls that carry other requests.
 
     Args:
         batch: Pieces of one call.
-        is_suspect: Tells requests under which a target has ended.
+        is_suspect: Returns whether a target has crashed under a fingerprint.
 
     Returns:
-        The pieces of the call, either those of no suspect or those of one, and the
-        pieces that wait for another call.
+        The pieces of the call, which belong either to no suspect or to exactly one,
+        and the pieces that wait for another call.
     """
-    works = {piece.work for piece in batch}
-    suspects = {work for work in works if is_suspect(work)}
-    if len(works) < 2 or not suspects:
+    fingerprints = {piece.fingerprint for piece in batch}
+    suspects = {fingerprint for fingerprint in fingerprints if is_suspect(fingerprint)}
+    if len(fingerprints) < 2 or not suspects:
         return list(batch), []
-    chosen = works - suspects or {batch[0].work}
-    call = [piece for piece in batch if piece.work in chosen]
-    rest = [piece for piece in batch if piece.work not in chosen]
-    return call, rest
+    chosen = fingerprints - suspects or {batch[0].fingerprint}
+    call = [piece for piece in batch if piece.fingerprint in chosen]
+    remaining = [piece for piece in batch if piece.fingerprint not in chosen]
+    return call, remaining
 
 
 def is_large(piece: QueuedPiece) -> bool:
-    """Tell whether a piece should be done in its zone."""
+    """Return whether a piece should run in its own zone."""
     return piece.zone_bytes >= _LARGE_BYTES
 
 
-def _has_time_at_home(
-    piece: QueuedPiece, home_waits: dict[str, float], moment: float, call: float
+def _can_wait_for_zone(
+    piece: QueuedPiece, zone_waits: dict[str, float], now: float, call: float
 ) -> bool:
-    """Tell whether a piece can wait for its zone.
+    """Return whether a piece has the time to wait for its own zone.
 
     Args:
         piece: The piece.
-        home_waits: Seconds until a piece is done in each zone.
-        moment: Now, on the hub's clock.
+        zone_waits: Seconds until a large piece is done, by zone.
+        now: Current time on the hub's clock.
         call: Seconds of a full call.
     """
-    if not is_large(piece) or piece.zone not in home_waits:
+    if not is_large(piece) or piece.zone not in zone_waits:
         return False
-    slack = piece.objective_at - moment - call
-    extra = home_waits[piece.zone] - call
-    return extra <= min(_HOME_PART * slack, call)
+    slack = piece.objective_at - now - call
+    extra = zone_waits[piece.zone] - call
+    return extra <= min(_MAX_ZONE_WAIT_FRACTION * slack, call)
 
 
 class StageQueue:
     """The pieces that wait for one stage service at one owner.
 
-    A call costs as much as many pieces, and a target makes one call at a time, so
-    pieces of all requests share calls: while one runs the next one fills up.
+    A call costs as much as many pieces, and a target makes one call at a time.
+    Therefore pieces of all requests share calls: the next call fills up while the
+    current one runs.
 
     Args:
-        batching: How the service's targets work.
-        policy: How pieces are chosen.
+        batching: How the targets of the service work.
+        policy: Mechanisms that choose the pieces.
     """
 
     def __init__(self, batching: Batching, policy: Policy = FULL_POLICY) -> None:
         self._policy = policy
         self.batching = batching
         self.piece_by_key: dict[PieceKey, QueuedPiece] = {}
-        self.open_sets: set[tuple[str, int]] = set()
-        self.fill = float(batching.size)
+        self.started_stages: set[tuple[str, int]] = set()
+        self.mean_call_size = float(batching.size)
 
     def __len__(self) -> int:
         return len(self.piece_by_key)
@@ -189,147 +201,158 @@
         self.piece_by_key[piece.key] = piece
 
     def cancel(self, request: str) -> None:
-        """Drop the pieces of a request that has ended."""
+        """Remove the pieces of a request that has ended."""
         for key in [k for k in self.piece_by_key if k.request == request]:
             del self.piece_by_key[key]
 
-    def pop_expired(self, moment: float, pace: float = 1.0) -> list[QueuedPiece]:
-        """Take out pieces that wait for nothing.
+    def pop_expired(self, now: float, slowdown: float = 1.0) -> list[QueuedPiece]:
+        """Remove and return the pieces that are not worth waiting for.
+
+        These are the pieces that cannot be done before they expire. A queue of more
+        than two calls also drops requests that are late and have not started:
+        newcomers that can be on time go ahead of them, so they would wait until their
+        callers time out. Rejected now, the callers still have time to retry.
 
-        These are the ones that can't be done in time, and in a queue of more than two
-        calls those of requests that are late before they have begun: newcomers that can
-        be on time go ahead of them, so that they would wait until their callers give
-        up. Refused now, the callers still have time to come back.
+        Args:
+            now: Current time on the hub's clock.
+            slowdown: Actual time of calls relative to the declared one.
         """
-        least = self.batching.seconds(1) * pace
+        least = self.batching.seconds(1) * slowdown
         is_long = (
             self._policy.has(Mechanism.LATE_LEAVE)
-            and len(self.piece_by_key) > _LONG_CALLS * self.batching.size
+            and len(self.piece_by_key) > _LONG_QUEUE_CALLS * self.batching.size
         )
         expired = [
             piece
             for piece in self.piece_by_key.values()
-            if piece.expires_at < moment + least
-            or (is_long and self._is_hopeless(piece, moment))
+            if piece.expires_at < now + least
+            or (is_long and self._is_too_late(piece, now))
         ]
         for piece in expired:
             del self.piece_by_key[piece.key]
         return expired
 
-    def _is_hopeless(self, piece: QueuedPiece, moment: float) -> bool:
-        if piece.has_started or piece.key[:2] in self.open_sets:
+    def _is_too_late(self, piece: QueuedPiece, now: float) -> bool:
+        if piece.has_started or piece.key[:2] in self.started_stages:
             return False
-        return moment > piece.objective_at + _LATE_GRACE_S
+        return now > piece.objective_at + _LATE_GRACE_S
 
     def pop_batch(
         self,
-        moment: float,
-        room_bytes: float,
-        pace: float = 1.0,
+        now: float,
+        free_bytes: float,
+        slowdown: float = 1.0,
         *,
         may_wait: bool = False,
         zone: str = "",
         others: Sequence[OtherTarget] = (),
     ) -> list[QueuedPiece]:
-        """Take the pieces of the next call.
+        """Remove and return the pieces of the next call.
 
-        A stage is begun only if all its pieces fit into the room that all targets
-        have left. Were single pieces taken as they fit, several requests would each
-        hold a part of their results and wait for room that only the others could give
-        up; calls then carry one piece each and nobody is done. A stage without room is
-        passed over, and smaller ones behind it go ahead.
+        A stage is started only if all its pieces fit into the free memory of all
+        targets together. If single pieces were taken as they fit, several requests
+        could each hold some of their results and wait for memory that only the
+        other requests could release; calls would carry one piece each and no request
+        would finish. A stage that does not fit is skipped, and smaller ones behind it
+        go ahead.
 
-        A piece with large inputs or a large result is left to a target in its zone, if
-        it costs no more than half of the piece's slack and a call; so is the rest of a
-        stage of which a part was taken, since the next stage needs its results
-        together.
+        A piece with large inputs or a large result is left to a target in its zone if
+        that costs at most half of the piece's slack and at most one call. The same
+        holds for the remaining pieces of a partly taken stage, since the next stage
+        needs its results in one place.
 
         Args:
-            moment: Now, on the hub's clock.
-            room_bytes: Room for results that the target has left.
-            pace: Actual time of calls against the declared one.
-            may_wait: Whether to take nothing rather than a small part of what a call
-                could carry. A call costs as much as several pieces, and the room that
-                the rest lacks is given up in a moment.
+            now: Current time on the hub's clock.
+            free_bytes: Free memory for results at the target.
+            slowdown: Actual time of calls relative to the declared one.
+            may_wait: Whether to return nothing rather than a small fraction of what a
+                call could carry. A call costs as much as several pieces, and the
+                memory that the other pieces need is released soon.
             zone: Zone of the target.
             others: The other targets that work on this queue.
         """
-        expected = self.batching.seconds(1) * pace
+        expected = self.batching.seconds(1) * slowdown
         pieces = sorted(
             self.piece_by_key.values(),
-            key=lambda p: rank(p, moment, expected, p.key[:2] in self.open_sets),
+            key=lambda p: rank(p, now, expected, p.key[:2] in self.started_stages),
         )
-        self._close_sets()
-        bytes_by_set = self._bytes_by_set()
-        promised = sum(bytes_by_set[name] for name in self.open_sets)
-        unpromised = room_bytes + sum(o.room_bytes for o in others) - promised
-        home_waits = self._home_waits(others)
-        call = self.batching.seconds(self.batching.size) * pace
-        has_homes = self._policy.has(Mechanism.HOME_ZONES)
-        begins_whole = self._policy.has(Mechanism.WHOLE_STAGES)
+        self._drop_finished_stages()
+        bytes_by_stage = self._bytes_by_stage()
+        reserved = sum(bytes_by_stage[stage] for stage in self.started_stages)
+        unreserved = free_bytes + sum(o.free_bytes for o in others) - reserved
+        zone_waits = self._zone_waits(others)
+        call = self.batching.seconds(self.batching.size) * slowdown
+        prefers_own_zone = self._policy.has(Mechanism.HOME_ZONES)
+        needs_whole_stage = self._policy.has(Mechanism.WHOLE_STAGES)
         small_bytes = self._small_bytes()
         batch: list[QueuedPiece] = []
-        begun = set(self.open_sets)
+        started = set(self.started_stages)
         for piece in pieces:
-            name = piece.key[:2]
-            spared = small_bytes if self._is_bulky(piece, small_bytes) else 0
-            if piece.result_bytes + spared > room_bytes:
+            stage = piece.key[:2]
+            kept_free = small_bytes if self._is_bulky(piece, small_bytes) else 0
+            if piece.result_bytes + kept_free > free_bytes:
                 continue
             if (
-                has_homes
+                prefers_own_zone
                 and piece.zone != zone
-                and _has_time_at_home(piece, home_waits, moment, call)
+                and _can_wait_for_zone(piece, zone_waits, now, call)
             ):
                 continue
-            if begins_whole and name not in begun:
-                if bytes_by_set[name] > unpromised:
+            if needs_whole_stage and stage not in started:
+                if bytes_by_stage[stage] > unreserved:
                     continue
-                unpromised -= bytes_by_set[name]
-                begun.add(name)
-            room_bytes -= piece.result_bytes
+                unreserved -= bytes_by_stage[stage]
+                started.add(stage)
+            free_bytes -= piece.result_bytes
             batch.append(piece)
             if len(batch) == self.batching.size:
                 break
         if (
             may_wait
             and self._policy.has(Mechanism.FULL_CALLS)
-            and len(batch) < self.batching.size * _WORTH_CALLING
-            and len(batch) < len(pieces) * _WORTH_CALLING
+            and len(batch) < self.batching.size * _MIN_CALL_FRACTION
+            and len(batch) < len(pieces) * _MIN_CALL_FRACTION
         ):
             return []
         for piece in batch:
             del self.piece_by_key[piece.key]
-            self.open_sets.add(piece.key[:2])
+            self.started_stages.add(piece.key[:2])
         if zone:
             self._keep_together({piece.key[:2] for piece in batch}, zone)
         if len(self.piece_by_key) >= self.batching.size and batch:
-            self.fill += _FILL_WEIGHT * (len(batch) - self.fill)
+            self.mean_call_size += _CALL_SIZE_WEIGHT * (
+                len(batch) - self.mean_call_size
+            )
         elif batch:
-            self.fill += _FILL_WEIGHT * (self.batching.size - self.fill)
+            self.mean_call_size += _CALL_SIZE_WEIGHT * (
+                self.batching.size - self.mean_call_size
+            )
         return batch
 
-    def _keep_together(self, names: set[tuple[str, int]], zone: str) -> None:
+    def _keep_together(self, stages: set[tuple[str, int]], zone: str) -> None:
+        """Assign the remaining pieces of partly taken stages to a zone."""
         for key, piece in self.piece_by_key.items():
-            if key[:2] in names and not is_large(piece):
+            if key[:2] in stages and not is_large(piece):
                 moved = piece._replace(zone=zone, zone_bytes=_LARGE_BYTES)
                 self.piece_by_key[key] = moved
 
-    def _home_waits(self, others: Sequence[OtherTarget]) -> dict[str, float]:
-        """Seconds until a large piece is done at a target of its own zone."""
+    def _zone_waits(self, others: Sequence[OtherTarget]) -> dict[str, float]:
+        """Return the seconds until a large piece is done, by zone of other targets."""
         large = [p.zone for p in self.piece_by_key.values() if is_large(p)]
         waits = {}
-        for zone in {other.zone for other in others if other.room_bytes > 0}:
+        for zone in {other.zone for other in others if other.free_bytes > 0}:
             free = [other.free_in for other in others if other.zone == zone]
             calls = math.ceil(large.count(zone) / (self.batching.size * len(free)))
             waits[zone] = min(free) + calls * self.batching.seconds(self.batching.size)
         return waits
 
     def _small_bytes(self) -> int:
-        """Room for the small results that could share a call with large ones.
+        """Return the memory for small results that could share a call with large ones.
 
-        The last large result that fits would else fill a target to the brim. Chains
-        whose first result takes a thousandth of that room would wait for a whole call
-        although their pieces cost a call little, and the call goes part-empty.
+        Without it, the last large result that fits would fill the target completely.
+        Requests whose first result takes a thousandth of that memory would wait for a
+        whole call although their pieces add little to one, and the call would go
+        partly empty.
         """
         sizes = sorted(piece.result_bytes for piece in self.piece_by_key.values())
         if not sizes or not self._policy.has(Mechanism.SMALL_RESULTS):
@@ -338,45 +361,58 @@
         return sum(small[: self.batching.size])
 
     def _is_bulky(self, piece: QueuedPiece, small_bytes: int) -> bool:
-        """Tell whether a piece has to leave room for small results.
+        """Return whether a piece has to leave memory for small results.
 
-        One of a size that a target holds once or twice never has to: it might wait for
-        ever behind small ones.
+        A result so large that a target holds only one or two of them never has to:
+        its piece might wait behind small ones forever.
         """
-        fits_often = piece.result_bytes * _FEW_RESULTS <= self.batching.memory_bytes
+        fits_often = (
+            piece.result_bytes * _MIN_RESULTS_PER_TARGET <= self.batching.memory_bytes
+        )
         return fits_often and piece.result_bytes > small_bytes
 
-    def _bytes_by_set(self) -> dict[tuple[str, int], int]:
+    def _bytes_by_stage(self) -> dict[tuple[str, int], int]:
+        """Return the result bytes of all waiting pieces by stage."""
         sizes: dict[tuple[str, int], int] = {}
         for piece in self.piece_by_key.values():
-            name = piece.key[:2]
-            sizes[name] = sizes.get(name, 0) + piece.result_bytes
+            stage = piece.key[:2]
+            sizes[stage] = sizes.get(stage, 0) + piece.result_bytes
         return sizes
 
-    def _close_sets(self) -> None:
+    def _drop_finished_stages(self) -> None:
+        """Forget started stages of which no piece waits any more."""
         waiting = {key[:2] for key in self.piece_by_key}
-        self.open_sets &= waiting
+        self.started_stages &= waiting
+
+    def drains(self, targets: int, until_free: float, slowdown: float) -> list[float]:
+        """Return the seconds until the waiting pieces are done, by place.
 
-    def drains(self, targets: int, until_free: float, pace: float) -> list[float]:
-        """Seconds until what waits now is done, for each place and those before it.
+        The entry of a place counts its pieces and those of all places before it.
 
         Args:
             targets: Number of targets that work on this queue.
             until_free: Seconds until the first of them is free.
-            pace: Actual time of calls against the declared one.
+            slowdown: Actual time of calls relative to the declared one.
         """
         counts = [0] * PLACES
         for piece in self.piece_by_key.values():
             counts[place(piece.urgency, has_started=piece.has_started)] += 1
-        rate = self.rate(targets, pace)
+        rate = self.rate(targets, slowdown)
         return [until_free + ahead / rate for ahead in accumulate(counts)]
 
-    def rate(self, targets: int, pace: float) -> float:
-        """Pieces a second that so many targets do."""
-        fill = max(1.0, self.fill)
-        return targets * fill / (self.batching.seconds(fill) * pace)
+    def rate(self, targets: int, slowdown: float) -> float:
+        """Return the pieces per second that a number of targets can do."""
+        mean_call_size = max(1.0, self.mean_call_size)
+        return (
+            targets
+            * mean_call_size
+            / (self.batching.seconds(mean_call_size) * slowdown)
+        )
 
-    def call_seconds(self, pace: float) -> float:
-        """Expected time of the next call."""
+    def call_seconds(self, slowdown: float) -> float:
+        """Return the expected seconds of the next call."""
         waiting = len(self.piece_by_key) + 1
-        return self.batching.seconds(min(waiting, max(1.0, self.fill))) * pace
+        return (
+            self.batching.seconds(min(waiting, max(1.0, self.mean_call_size)))
+            * slowdown
+        )
--- a/packages/serving/bergamotsaddle_serving/stage_waits.py
+++ b/packages/serving/bergamotsaddle_serving/stage_waits.py
@@ -1,4 +1,4 @@
-"""Expected times of stages at each queue, and the queue for each of them."""
+"""Expected times of stages at each queue, and the choice of a queue for each stage."""
 
 import math
 
@@ -17,29 +17,31 @@
 from bergamotsaddle_serving.stage_plan import StagePlan
 from bergamotsaddle_serving.view import View
 
-# What is expected of an owner that has told nothing yet, on top of a call.
-_UNKNOWN_S = 0.1
+# Expected wait at an owner that has not reported a load yet, in addition to a call.
+_UNKNOWN_QUEUE_S = 0.1
 # Another zone or region must be this much faster for results to cross between zones.
 _CROSS_GAIN_S = 0.05
 _NO_TARGETS = StageLoad(60.0, 1.0, 1.0)
-_LEAST_RATE = 0.1
-# How long a queue's load is used again: one request asks for it dozens of times.
-_SAME_LOADS_S = 0.01
-# The part of the room at a queue's targets that one request may take.
-_ROOM_PART = 0.7
+_MIN_RATE = 0.1
+# How long the load of a queue is cached: one request queries it dozens of times.
+_LOAD_CACHE_S = 0.01
+# The fraction of the result memory at a queue's targets that one request may use.
+_MEMORY_FRACTION = 0.7
 
 
 class StageWaits:
-    """What owners tell of their queues.
+    """Waits at the stage queues, from the loads that their owners report.
 
-    A ``turn`` is the place that pieces have in a queue, as ``stage_load.place`` counts
-    it.
+    A ``place`` is the place of pieces in a queue as ``stage_load.place`` counts it.
 
     Args:
         view: Targets and services.
-        peers: The owners.
-        owner: This instance's own queues.
-        policy: Which mechanisms are in force.
+        peers: The other instances, which own queues.
+        owner: The queues that this instance owns.
+        policy: Mechanisms that are in force.
+
+    Attributes:
+        pending: Pieces of this instance's requests that will reach a stage later.
     """
 
     def __init__(
@@ -58,10 +60,10 @@
         self._loads_at = float("-inf")
         self._known_changes = 0
 
-    def best_scope(self, service: str, zone: str, turn: int) -> ScopeLoad:
-        """Load at the queue of a zone, or at another one that is done earlier."""
+    def best_scope(self, service: str, zone: str, place: int) -> ScopeLoad:
+        """Return the load at the queue of a zone, or at another one that is faster."""
         scope = self._owner.scopes.of(service, zone)
-        loads = self._loads(service, turn)
+        loads = self._loads(service, place)
         preferred = loads.pop(scope, _NO_TARGETS)
         other = min(loads, key=lambda name: _total(loads[name]), default=None)
         if other is None:
@@ -71,15 +73,15 @@
             return ScopeLoad(scope, preferred)
         return ScopeLoad(other, load._replace(drain=load.drain + _CROSS_GAIN_S))
 
-    def choose_scope(self, service: str, zone: str, turn: int, plan: StagePlan) -> str:
+    def choose_scope(self, service: str, zone: str, place: int, plan: StagePlan) -> str:
         """Choose the queue of a stage.
 
-        Answers load that is uneven between zones. Results that cross zones are dear,
-        so a stage stays with the queue of its engine's zone unless it would be late
-        there and is done earlier at another one.
+        This handles load that is uneven between zones. Results that cross zones are
+        expensive, so a stage stays at the queue of its engine's zone unless it would
+        be late there and is done earlier at another one.
         """
         scope = self._owner.scopes.of(service, zone)
-        times = self._times(service, turn, plan)
+        times = self._times(service, place, plan)
         if not times:
             return scope
         best = min(times, key=times.__getitem__)
@@ -92,105 +94,110 @@
         return best
 
     def choose_queues(
-        self, service: str, stage: Stage, count: int, turn: int, plan: StagePlan
+        self, service: str, stage: Stage, count: int, place: int, plan: StagePlan
     ) -> list[tuple[str, int]]:
         """Choose the queues of a stage's pieces.
 
-        A target has room for a handful of large results. A stage with more pieces than
-        a queue's targets hold at once would wait there for room that it takes up
-        itself, so it is spread over as many queues as it needs.
+        A target has memory for a handful of large results. A stage with more pieces
+        than the targets of one queue can hold at once would wait there for memory that
+        it occupies itself, so it is split over as many queues as it needs.
 
         Returns:
             Zones or regions with the number of pieces for each.
         """
-        scope = self.choose_scope(service, plan.zone, turn, plan)
-        times = self._times(service, turn, plan)
-        room = self._room(service, scope, stage)
+        scope = self.choose_scope(service, plan.zone, place, plan)
+        times = self._times(service, place, plan)
+        capacity = self._memory_in_pieces(service, scope, stage)
         others = sorted((name for name in times if name != scope), key=times.get)
-        parts = min(1 + len(others), math.ceil(count / room))
-        scopes = [scope, *others][:parts]
+        queues = min(1 + len(others), math.ceil(count / capacity))
+        scopes = [scope, *others][:queues]
         share, extra = divmod(count, len(scopes))
         return [(name, share + (n < extra)) for n, name in enumerate(scopes)]
 
     def ttl_seconds(self, service: str) -> float:
-        """How long targets of a stage service keep results."""
+        """Return how long targets of a stage service keep results."""
         declared = self._view.configuration.services_by_name.get(service)
         if declared is None or declared.batching is None:
-            # Dropped from the configuration since the stage was begun.
+            # Removed from the configuration since the stage started.
             return 0.0
         return declared.batching.ttl_seconds
 
-    def _times(self, service: str, turn: int, plan: StagePlan) -> dict[str, float]:
+    def _times(self, service: str, place: int, plan: StagePlan) -> dict[str, float]:
+        """Return the expected seconds at each queue that the plan does not avoid."""
         return {
             scope: _total(load)
-            for scope, load in self._loads(service, turn).items()
+            for scope, load in self._loads(service, place).items()
             if not plan.is_avoided(service, scope, now())
         }
 
-    def _room(self, service: str, scope: str, stage: Stage) -> int:
+    def _memory_in_pieces(self, service: str, scope: str, stage: Stage) -> int:
+        """Return the results of a stage that one request may hold at a queue."""
         declared = self._view.configuration.services_by_name[service].batching
         scopes = [
             self._owner.scopes.of(service, known.target.zone)
             for known in self._view.usable(service)
         ]
         targets = scopes.count(scope)
-        room = _ROOM_PART * declared.memory_bytes * max(1, targets)
-        return max(1, int(room / max(1, stage.result_bytes)))
+        memory = _MEMORY_FRACTION * declared.memory_bytes * max(1, targets)
+        return max(1, int(memory / max(1, stage.result_bytes)))
 
-    def _loads(self, service: str, turn: int) -> dict[str, StageLoad]:
+    def _loads(self, service: str, place: int) -> dict[str, StageLoad]:
         zones = {known.target.zone for known in self._view.usable(service)}
         loads = {}
         for scope in {self._owner.scopes.of(service, zone) for zone in zones}:
-            load = self._load(service, scope, turn)
+            load = self._load(service, scope, place)
             if load is not None:
                 loads[scope] = load
         return loads
 
-    def _load(self, service: str, scope: str, turn: int) -> StageLoad | None:
-        self._forget_old_loads()
-        queue = (service, scope, turn)
+    def _load(self, service: str, scope: str, place: int) -> StageLoad | None:
+        self._drop_stale_loads()
+        queue = (service, scope, place)
         if queue not in self._load_by_queue:
-            self._load_by_queue[queue] = self._ask_load(service, scope, turn)
+            self._load_by_queue[queue] = self._query_load(service, scope, place)
         return self._load_by_queue[queue]
 
-    def _forget_old_loads(self) -> None:
-        # What this instance itself admits counts at once, or requests that come
-        # together would all be admitted by the load before the first of them.
-        moment = now()
-        is_old = moment - self._loads_at > _SAME_LOADS_S
+    def _drop_stale_loads(self) -> None:
+        # Requests that this instance admits count at once. Otherwise requests that
+        # arrive together would all be admitted by the load before the first of them.
+        current_time = now()
+        is_old = current_time - self._loads_at > _LOAD_CACHE_S
         if is_old or self._known_changes != self.pending.changes:
             self._load_by_queue.clear()
-            self._loads_at = moment
+            self._loads_at = current_time
             self._known_changes = self.pending.changes
 
-    def _ask_load(self, service: str, scope: str, turn: int) -> StageLoad | None:
+    def _query_load(self, service: str, scope: str, place: int) -> StageLoad | None:
+        """Return the last reported load of a queue, None if no instance owns it."""
         owners = rank_owners(self._peers, service, scope)
         if not owners:
             return None
         if owners[0] == self._peers.own.id:
-            told = self._owner.loads().get(service)
+            reported = self._owner.loads().get(service)
         else:
-            told = self._peers.by_id[owners[0]].loads.get(service)
-        if told is None:
-            return self._unknown(service)
-        drain, call, rate = told[turn], told[-2], told[-1]
-        ahead = self._ahead(service, scope, turn)
-        return StageLoad(drain + ahead / max(rate, _LEAST_RATE), call, rate)
-
-    def _ahead(self, service: str, scope: str, turn: int) -> int:
+            reported = self._peers.by_id[owners[0]].loads.get(service)
+        if reported is None:
+            return self._unknown_load(service)
+        drain, call, rate = reported[place], reported[-2], reported[-1]
+        ahead = self._pending_ahead(service, scope, place)
+        return StageLoad(drain + ahead / max(rate, _MIN_RATE), call, rate)
+
+    def _pending_ahead(self, service: str, scope: str, place: int) -> int:
+        """Return the pending pieces of all instances that go before a place."""
         if not self._policy.has(Mechanism.COMING_PIECES):
             return 0
-        urgency = urgency_of(turn)
+        urgency = urgency_of(place)
         ahead = self.pending.pieces_ahead(service, scope, urgency)
-        told = self._peers.roster().coming_by_queue.get((service, scope), ())
-        return ahead + sum(told[: urgency + 1])
+        reported = self._peers.roster().pending_by_queue.get((service, scope), ())
+        return ahead + sum(reported[: urgency + 1])
 
-    def _unknown(self, service: str) -> StageLoad:
+    def _unknown_load(self, service: str) -> StageLoad:
+        """Return the load to expect at an owner that has not reported any."""
         batching = self._view.configuration.services_by_name[service].batching
         if batching is None:
             return _NO_TARGETS
         call = batching.seconds(1)
-        return StageLoad(_UNKNOWN_S, call, 1 / call)
+        return StageLoad(_UNKNOWN_QUEUE_S, call, 1 / call)
 
 
 def _total(load: StageLoad) -> float:
--- a/packages/serving/bergamotsaddle_serving/store_readers.py
+++ b/packages/serving/bergamotsaddle_serving/store_readers.py
@@ -1,34 +1,37 @@
-"""Decides which instance reads the platform's store for a zone. No input or output."""
+"""Decides which instance reads the platform's store for a zone.
+
+This module does no input or output.
+"""
 
 from collections.abc import Collection, Sequence
 
-# Stands for the store where owners of queues are ranked.
+# Stands for the store in the ranking of queue owners.
 STORE = "store"
-# Readers that are tried in vain before an instance reads the store itself.
-_MOST_TRIED = 2
+# Failed readers after which an instance reads the store itself.
+_MAX_FAILED_READERS = 2
 
 
 def pick_reader(
     ranked: Sequence[str], own_id: str, avoided: Collection[str]
 ) -> str | None:
-    """Pick the instance from which this one learns of the store's changes.
+    """Return the instance from which this one receives changes of the store.
 
-    Answers fleets of hundreds, each instance of which would else watch the store by
-    itself and have its watch answered by every change. Instances that hear each other
-    come to the same reader without a word between them. One that finds its readers
-    dead, refused by the store or behind reads the store itself.
+    This serves fleets of hundreds of instances. If each of them watched the store
+    itself, every change would complete the watches of all of them. Instances that reach
+    each other choose the same reader without communication. An instance that finds its
+    readers dead, refused by the store or behind reads the store itself.
 
     Args:
         ranked: Instances that may read for the zone, the reader first.
-        own_id: This instance.
-        avoided: Instances whose word was missing or too old a moment ago.
+        own_id: Id of this instance.
+        avoided: Instances whose response was missing or too old a moment ago.
 
     Returns:
         The reader, None if this instance reads the store itself.
     """
-    fit = [instance for instance in ranked if instance not in avoided]
-    if not fit or fit[0] == own_id:
+    usable = [instance for instance in ranked if instance not in avoided]
+    if not usable or usable[0] == own_id:
         return None
-    if len(ranked) - len(fit) >= _MOST_TRIED:
+    if len(ranked) - len(usable) >= _MAX_FAILED_READERS:
         return None
-    return fit[0]
+    return usable[0]
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -274,7 +274,7 @@
             seconds=choice.seconds,
             idle_seconds=plan.idle_seconds() + choice.idle_seconds,
             objective=context.started_at + context.route.objective - now(),
-            left=context.first_event_by - now(),
+            remaining=context.first_event_by - now(),
         )
         more_urgent = self._server.urgencies.more_urgent_fraction(context.urgency)
         is_admitted = admits(forecast, more_urgent, self._server.policy)
@@ -285,7 +285,7 @@
             reason=choice.reason,
             expected=round(forecast.seconds, 3),
             idle=round(forecast.idle_seconds, 3),
-            left=round(forecast.left, 3),
+            left=round(forecast.remaining, 3),
             urgency=context.urgency,
             more_urgent=round(more_urgent, 2),
             version=context.version,
--- a/packages/serving/bergamotsaddle_serving/suspects.py
+++ b/packages/serving/bergamotsaddle_serving/suspects.py
@@ -1,6 +1,6 @@
-"""Tells a request that ends its targets from those that ran beside it.
+"""Attributes target crashes to the requests that cause them.
 
-No input or output here.
+This module does no input or output.
 """
 
 from collections import OrderedDict
@@ -12,192 +12,221 @@
 from bergamotsaddle_serving.peer_messages import Fact
 from bergamotsaddle_serving.policy import FULL_POLICY, Mechanism, Policy
 
-# Targets that end under a request before it is held back.
+# Number of targets that crash under a request before it is quarantined.
 MAX_CRASHES = 3
 _DAY_S = 86_400.0
-_ENDS = Topic("end", keep_seconds=_DAY_S, most=2_000)
-_ENDED_UNDER_IT = 1.0
+_CRASHES = Topic("end", ttl_seconds=_DAY_S, max_facts=2_000)
+_CRASHED = 1.0
 _CLEARED = 0.0
 _SEPARATOR = "\t"
 _KEY_PARTS = 4
-# Requests that are remembered for having run whole.
-_MOST_PROVEN = 4_096
+# Number of requests that are remembered as cleared.
+_MAX_CLEARED = 4_096
 
 
-class _Life(NamedTuple):
-    """A life of a target, as keys of facts name it.
+class _Incarnation(NamedTuple):
+    """An incarnation of a target as keys of facts name it.
 
     Attributes:
-        release: Its service and the version of its software.
-        name: Its id and when it began.
+        software: Its service and the version of its software.
+        name: Id of the target and when the incarnation started.
     """
 
-    release: tuple[str, str]
+    software: tuple[str, str]
     name: str
 
 
 class Suspects:
-    """Requests under which targets have ended.
+    """Requests under which targets have crashed.
 
-    Answers a request that ends every target which runs it and comes again and again,
-    at any instance: each try looks like an ordinary request that met a crash. A target
-    takes with it all that it runs, so one end proves nothing. Counted are different
-    lives of targets that ended under the same work, at all instances together.
+    This handles a request that crashes every target that runs it and is repeated at any
+    instance: each try looks like an ordinary request that met a crash. A target takes
+    with it everything that it runs, so one crash proves nothing. The crashes that count
+    are those of different incarnations of targets under the same request fingerprint,
+    at all instances together.
 
-    An end is laid to the request that was there at most ends: those beside it have
-    been at fewer. A request that runs whole on some target is cleared, however many
-    ends it was at; so one that many callers send is not taken for the cause of a
-    crash. Nobody is held back for fewer than three ends.
+    Crash attribution: a crash is attributed to the request that was present at most
+    crashes, since the requests beside it were present at fewer. A request that succeeds
+    on some target is cleared, however many crashes it was present at; a request that
+    many callers send is therefore not taken for the cause of a crash. No request is
+    quarantined for fewer than three crashes.
 
-    A request is released once no target runs the software any more that ended under
-    it; after one more end with the next version it is held back again. Else it is
-    released after a day.
+    A request leaves quarantine when no target runs the software that crashed under it
+    any more; one more crash of the next version quarantines it again. Otherwise it
+    leaves quarantine after a day.
 
     Args:
-        gossip: Carries the ends to all instances.
-        tell: Tells the others what is new.
-        releases: Service and software version of each target that is there.
-        logger: Gets a line when a request becomes held back or is cleared.
-        policy: Which mechanisms are in force.
+        gossip: Carries the crashes to all instances.
+        publish: Sends new facts to the other instances.
+        software_versions: Returns the service and software version of all targets.
+        logger: Gets a line when a target crashes under a request and when a request
+            is cleared.
+        policy: Mechanisms that are in force.
     """
 
     def __init__(
         self,
         gossip: Gossip,
-        tell: Callable[[Sequence[Fact | None]], None],
-        releases: Callable[[], set[tuple[str, str]]],
+        publish: Callable[[Sequence[Fact | None]], None],
+        software_versions: Callable[[], set[tuple[str, str]]],
         logger: Any,
         policy: Policy = FULL_POLICY,
     ) -> None:
         self._gossip = gossip
-        self._tell = tell
-        self._releases = releases
+        self._publish = publish
+        self._software_versions = software_versions
         self._logger = logger
         self._is_on = policy.has(Mechanism.FATAL_REQUESTS)
-        self._lives_by_work: dict[str, set[_Life]] = {}
-        self._works_by_life: dict[_Life, set[str]] = {}
-        self._proven: OrderedDict[tuple[str, tuple[str, str]], None] = OrderedDict()
-        gossip.subscribe(_ENDS, self._note, worth=self._worth)
-
-    def record_crash(self, target: Target, works: Iterable[str]) -> None:
-        """Note that a target has ended while it ran some requests."""
-        life = _life(target)
-        unproven = [w for w in works if (w, life.release) not in self._proven]
-        self._tell(
+        self._incarnations_by_fingerprint: dict[str, set[_Incarnation]] = {}
+        self._fingerprints_by_incarnation: dict[_Incarnation, set[str]] = {}
+        self._cleared: OrderedDict[tuple[str, tuple[str, str]], None] = OrderedDict()
+        gossip.subscribe(_CRASHES, self._on_fact, priority=self._retention_priority)
+
+    def record_crash(self, target: Target, fingerprints: Iterable[str]) -> None:
+        """Record that a target crashed while it ran some requests.
+
+        Args:
+            target: The target.
+            fingerprints: Fingerprints of the requests.
+        """
+        incarnation = _incarnation(target)
+        uncleared = [
+            w for w in fingerprints if (w, incarnation.software) not in self._cleared
+        ]
+        self._publish(
             [
-                self._gossip.record(_ENDS, _key(w, life), _ENDED_UNDER_IT)
-                for w in unproven
+                self._gossip.record(_CRASHES, _key(w, incarnation), _CRASHED)
+                for w in uncleared
             ]
         )
-        for work in unproven:
-            self._log(work, target)
-
-    def record_success(self, target: Target, work: str) -> None:
-        """Note that a request ran to its end without ending its target."""
-        release = _life(target).release
-        self._proven[work, release] = None
-        self._proven.move_to_end((work, release))
-        if len(self._proven) > _MOST_PROVEN:
-            self._proven.popitem(last=False)
-        lives = [
-            life
-            for life in self._lives_by_work.get(work, ())
-            if life.release == release
+        for fingerprint in uncleared:
+            self._log(fingerprint, target)
+
+    def record_success(self, target: Target, fingerprint: str) -> None:
+        """Record that a target completed a request without a crash."""
+        software = _incarnation(target).software
+        self._cleared[fingerprint, software] = None
+        self._cleared.move_to_end((fingerprint, software))
+        if len(self._cleared) > _MAX_CLEARED:
+            self._cleared.popitem(last=False)
+        incarnations = [
+            incarnation
+            for incarnation in self._incarnations_by_fingerprint.get(fingerprint, ())
+            if incarnation.software == software
         ]
-        if not lives:
+        if not incarnations:
             return
-        self._logger.info("suspect_cleared", work=work, target=target.id)
-        self._tell(
-            [self._gossip.record(_ENDS, _key(work, life), _CLEARED) for life in lives]
+        self._logger.info("suspect_cleared", work=fingerprint, target=target.id)
+        self._publish(
+            [
+                self._gossip.record(_CRASHES, _key(fingerprint, incarnation), _CLEARED)
+                for incarnation in incarnations
+            ]
         )
 
-    def is_suspect(self, work: str) -> bool:
-        """Tell whether a target has ended under a request."""
-        return self._is_on and bool(self._guilty_lives(work))
+    def is_suspect(self, fingerprint: str) -> bool:
+        """Return whether a crash is attributed to a request."""
+        return self._is_on and bool(self._attributed_crashes(fingerprint))
 
-    def is_quarantined(self, work: str) -> bool:
-        """Tell whether a request must reach no target."""
+    def is_quarantined(self, fingerprint: str) -> bool:
+        """Return whether a request must not reach any target."""
         if not self._is_on:
             return False
-        lives = self._guilty_lives(work)
-        if len(lives) < MAX_CRASHES:
+        incarnations = self._attributed_crashes(fingerprint)
+        if len(incarnations) < MAX_CRASHES:
             return False
-        releases = self._releases()
-        services = {service for service, _ in releases}
-        # A service without any target may come back as it was.
+        software_versions = self._software_versions()
+        services = {service for service, _ in software_versions}
+        # A service without any target may return with the same software.
         return any(
-            life.release in releases or life.release[0] not in services
-            for life in lives
+            incarnation.software in software_versions
+            or incarnation.software[0] not in services
+            for incarnation in incarnations
         )
 
     def quarantined(self) -> list[str]:
-        """All requests that are held back."""
-        return [work for work in self._lives_by_work if self.is_quarantined(work)]
+        """Return the fingerprints of all quarantined requests."""
+        return [
+            fingerprint
+            for fingerprint in self._incarnations_by_fingerprint
+            if self.is_quarantined(fingerprint)
+        ]
 
     def __len__(self) -> int:
-        """Number of requests under which a target has ended."""
-        return len(self._lives_by_work)
+        """Number of requests under which a target has crashed."""
+        return len(self._incarnations_by_fingerprint)
+
+    def _attributed_crashes(self, fingerprint: str) -> list[_Incarnation]:
+        """Return the crashed incarnations that are attributed to a request.
 
-    def _guilty_lives(self, work: str) -> list[_Life]:
-        """Lives that ended under a request, and under none that was at more ends."""
-        lives = self._lives_by_work.get(work, ())
+        No other request that an incarnation ran was present at more crashes.
+        """
+        incarnations = self._incarnations_by_fingerprint.get(fingerprint, ())
         return [
-            life
-            for life in lives
-            if (work, life.release) not in self._proven
-            and len(lives) >= self._most_ends(life)
+            incarnation
+            for incarnation in incarnations
+            if (fingerprint, incarnation.software) not in self._cleared
+            and len(incarnations) >= self._max_crashes(incarnation)
         ]
 
-    def _most_ends(self, life: _Life) -> int:
-        return max(len(self._lives_by_work[w]) for w in self._works_by_life[life])
+    def _max_crashes(self, incarnation: _Incarnation) -> int:
+        """Return the most crashes of any request that an incarnation ran."""
+        return max(
+            len(self._incarnations_by_fingerprint[w])
+            for w in self._fingerprints_by_incarnation[incarnation]
+        )
 
-    def _worth(self, key: str) -> float:
-        work = key.partition(_SEPARATOR)[0]
-        return float(len(self._lives_by_work.get(work, ())))
+    def _retention_priority(self, key: str) -> float:
+        fingerprint = key.partition(_SEPARATOR)[0]
+        return float(len(self._incarnations_by_fingerprint.get(fingerprint, ())))
 
-    def _note(self, key: str, value: float | None) -> None:
+    def _on_fact(self, key: str, value: float | None) -> None:
         parsed = _parse_key(key)
         if parsed is None:
             return
-        work, life = parsed
-        if value == _ENDED_UNDER_IT:
-            self._lives_by_work.setdefault(work, set()).add(life)
-            self._works_by_life.setdefault(life, set()).add(work)
+        fingerprint, incarnation = parsed
+        if value == _CRASHED:
+            self._incarnations_by_fingerprint.setdefault(fingerprint, set()).add(
+                incarnation
+            )
+            self._fingerprints_by_incarnation.setdefault(incarnation, set()).add(
+                fingerprint
+            )
             return
-        _discard(self._lives_by_work, work, life)
-        _discard(self._works_by_life, life, work)
+        _discard(self._incarnations_by_fingerprint, fingerprint, incarnation)
+        _discard(self._fingerprints_by_incarnation, incarnation, fingerprint)
 
-    def _log(self, work: str, target: Target) -> None:
+    def _log(self, fingerprint: str, target: Target) -> None:
         self._logger.warning(
             "target_ended",
             target=target.id,
-            work=work,
-            ends=len(self._guilty_lives(work)),
-            is_held_back=self.is_quarantined(work),
+            work=fingerprint,
+            ends=len(self._attributed_crashes(fingerprint)),
+            is_held_back=self.is_quarantined(fingerprint),
         )
 
 
 def _discard(index: dict[Any, set[Any]], key: Any, value: Any) -> None:
-    """Take a value out of a set, and the set out of its index once it is empty."""
+    """Remove a value from a set, and the set from its index once it is empty."""
     values = index.get(key, set())
     values.discard(value)
     if not values:
         index.pop(key, None)
 
 
-def _life(target: Target) -> _Life:
+def _incarnation(target: Target) -> _Incarnation:
     name = f"{target.id}:{target.started_ms}"
-    return _Life((target.service, target.software), name)
+    return _Incarnation((target.service, target.software), name)
 
 
-def _key(work: str, life: _Life) -> str:
-    return _SEPARATOR.join((work, *life.release, life.name))
+def _key(fingerprint: str, incarnation: _Incarnation) -> str:
+    return _SEPARATOR.join((fingerprint, *incarnation.software, incarnation.name))
 
 
-def _parse_key(key: str) -> tuple[str, _Life] | None:
-    """Take a key apart; None if a name in it holds the separator."""
+def _parse_key(key: str) -> tuple[str, _Incarnation] | None:
+    """Return the parts of a key, None if a name in it contains the separator."""
     parts = key.split(_SEPARATOR)
     if len(parts) != _KEY_PARTS:
         return None
-    work, service, software, name = parts
-    return work, _Life((service, software), name)
+    fingerprint, service, software, name = parts
+    return fingerprint, _Incarnation((service, software), name)
--- a/packages/serving/bergamotsaddle_serving/target_crashes.py
+++ b/packages/serving/bergamotsaddle_serving/target_crashes.py
@@ -1,4 +1,4 @@
-"""Finds out whether a target has ended when it breaks off what it runs."""
+"""Finds out whether a target has crashed when its connections break."""
 
 from collections.abc import Sequence
 
@@ -8,59 +8,64 @@
 from bergamotsaddle_serving.suspects import Suspects
 from bergamotsaddle_serving.view import View
 
-# A target that comes back within a few ms listens again before it is asked. Its old
-# life then leaves the list within this time.
+# A target that restarts within a few ms listens again before it is checked. Its old
+# incarnation then leaves the list within this time.
 _PENDING_S = 10.0
 
 
 class TargetCrashes:
-    """Reports ends of targets with the requests that they ran.
+    """Reports crashes of targets with the requests that they ran.
 
-    A connection may also be broken off by the network, or by a target that fails a
-    request and lives. Only a target that refuses connections, or whose life leaves the
-    list without a notice, has ended.
+    A connection may also be broken by the network, or by a target that fails a
+    request and stays up. Only a target that refuses connections, or whose incarnation
+    leaves the list without notice, has crashed.
 
     Args:
         pool: Connections to targets.
-        view: Knows which lives there are.
+        view: Knows the current incarnations.
         suspects: Gets the reports.
 
     Attributes:
-        suspects: What the reports come to.
+        suspects: Attributes the reported crashes to requests.
     """
 
     def __init__(self, pool: ConnectionPool, view: View, suspects: Suspects) -> None:
         self._pool = pool
         self._view = view
         self.suspects = suspects
-        self._pending_by_life: dict[
+        self._pending_by_incarnation: dict[
             tuple[str, int], tuple[float, Target, set[str]]
         ] = {}
-        view.subscribe(self._note_view)
+        view.subscribe(self._on_view_change)
 
-    def record_failure(self, target: Target, works: Sequence[str], reason: str) -> None:
-        """Note that a connection failed while a target ran some requests.
+    def record_failure(
+        self, target: Target, fingerprints: Sequence[str], reason: str
+    ) -> None:
+        """Record that a connection failed while a target ran some requests.
 
         Args:
             target: The target.
-            works: Fingerprints of the requests.
-            reason: Why it failed, as ``ConnectionLostError`` tells.
+            fingerprints: Fingerprints of the requests.
+            reason: Why it failed, the ``reason`` of a ``ConnectionLostError``.
         """
         if reason not in BROKEN_CONNECTION_REASONS or self._view.is_leaving(target):
             return
         if not self._pool.is_refused(target.address):
-            pending = self._pending_by_life.setdefault(
+            pending = self._pending_by_incarnation.setdefault(
                 target.incarnation, (now(), target, set())
             )
-            pending[2].update(works)
+            pending[2].update(fingerprints)
             return
-        self.suspects.record_crash(target, works)
+        self.suspects.record_crash(target, fingerprints)
 
-    def _note_view(self) -> None:
+    def _on_view_change(self) -> None:
+        """Report pending failures of targets whose incarnation has left the list."""
         since = now() - _PENDING_S
-        for life, (moment, target, works) in list(self._pending_by_life.items()):
-            if moment < since or self._view.is_leaving(target):
-                del self._pending_by_life[life]
+        for incarnation, (failed_at, target, fingerprints) in list(
+            self._pending_by_incarnation.items()
+        ):
+            if failed_at < since or self._view.is_leaving(target):
+                del self._pending_by_incarnation[incarnation]
             elif not self._view.has_incarnation(target):
-                del self._pending_by_life[life]
-                self.suspects.record_crash(target, sorted(works))
+                del self._pending_by_incarnation[incarnation]
+                self.suspects.record_crash(target, sorted(fingerprints))
--- a/packages/serving/bergamotsaddle_serving/target_rates.py
+++ b/packages/serving/bergamotsaddle_serving/target_rates.py
@@ -1,4 +1,4 @@
-"""Keeps requests to targets within the limits that these name."""
+"""Keeps requests to targets within the limits that the targets name."""
 
 from typing import Any
 
@@ -12,9 +12,9 @@
     """Permits for requests to targets that name a limit.
 
     Args:
-        limits: What targets name.
-        exchange: Asks for permits.
-        logger: Gets a line when a target takes no more for now.
+        limits: Limits of the targets.
+        exchange: Requests permits from the owner of a rate.
+        logger: Gets a line when a target has no permit.
     """
 
     def __init__(
@@ -23,18 +23,18 @@
         self._limits = limits
         self._exchange = exchange
         self._logger = logger
-        self._free_at_by_life: dict[tuple[str, int], float] = {}
+        self._free_at_by_incarnation: dict[tuple[str, int], float] = {}
 
     def reserve(self, target: Target, request: str, urgency: int) -> bool:
-        """Get a permit for one request, if the target needs any.
+        """Acquire a permit for one request if the target requires one.
 
         Args:
             target: The target.
             request: Id of the request.
-            urgency: Its urgency, 0 first.
+            urgency: Urgency of the request, 0 first.
 
         Returns:
-            Whether it may be sent.
+            Whether the request may be sent.
         """
         limit = self._limits.of(target)
         if limit is None:
@@ -45,7 +45,7 @@
         wait = self._exchange.request_permit(key, target.zone, limit, urgency)
         if wait <= 0:
             return True
-        self._free_at_by_life[target.incarnation] = now() + wait
+        self._free_at_by_incarnation[target.incarnation] = now() + wait
         self._logger.info(
             "limit_reached",
             request=request,
@@ -56,12 +56,14 @@
         return False
 
     def wait(self, target: Target) -> float:
-        """Seconds until a target may have a permit to give, 0 if it may now."""
-        if not self._free_at_by_life or self._limits.of(target) is None:
+        """Return the seconds until a target may have a permit, 0 if it may now."""
+        if not self._free_at_by_incarnation or self._limits.of(target) is None:
             return 0.0
-        return max(0.0, self._free_at_by_life.get(target.incarnation, 0.0) - now())
+        return max(
+            0.0, self._free_at_by_incarnation.get(target.incarnation, 0.0) - now()
+        )
 
-    def keep_only(self, lives: set[tuple[str, int]]) -> None:
-        """Forget targets that are gone."""
-        for life in set(self._free_at_by_life) - lives:
-            del self._free_at_by_life[life]
+    def keep_only(self, incarnations: set[tuple[str, int]]) -> None:
+        """Forget all other target incarnations."""
+        for incarnation in set(self._free_at_by_incarnation) - incarnations:
+            del self._free_at_by_incarnation[incarnation]
--- a/packages/serving/bergamotsaddle_serving/target_totals.py
+++ b/packages/serving/bergamotsaddle_serving/target_totals.py
@@ -1,33 +1,38 @@
-"""What all other instances have at each target together."""
+"""Load of all other instances together at each target."""
 
 from collections import Counter
 from collections.abc import Iterable
 from typing import Protocol
 
 
-class Told(Protocol):
-    """What one instance told of the targets that it uses."""
+class TargetUsage(Protocol):
+    """What one instance reports about the targets that it uses.
+
+    Attributes:
+        running: Running requests by target id.
+        prefill_tokens: Prompt tokens that wait for prefill by target id.
+    """
 
     running: dict[str, int]
     prefill_tokens: dict[str, int]
 
 
 class TargetTotals:
-    """Sums over instances, by target id.
+    """Sums over instances by target id.
 
-    Each candidate of each request asks for them, so they are summed once for all.
+    They are computed once, since each candidate of each request needs them.
 
     Args:
-        told: What each instance told.
+        reports: The reports of all instances.
 
     Attributes:
-        running: Requests.
-        reading: Prompt tokens still to be read.
+        running: Running requests.
+        prefill_tokens: Prompt tokens that wait for prefill.
     """
 
-    def __init__(self, told: Iterable[Told] = ()) -> None:
+    def __init__(self, reports: Iterable[TargetUsage] = ()) -> None:
         self.running: Counter[str] = Counter()
         self.prefill_tokens: Counter[str] = Counter()
-        for instance in told:
+        for instance in reports:
             self.running.update(instance.running)
             self.prefill_tokens.update(instance.prefill_tokens)
--- a/packages/serving/bergamotsaddle_serving/urgency_distribution.py
+++ b/packages/serving/bergamotsaddle_serving/urgency_distribution.py
@@ -1,33 +1,37 @@
-"""How much of what comes in is more urgent than a request. No input or output here."""
+"""Distribution of the urgencies of recent requests.
+
+This module does no input or output.
+"""
 
 import math
 
-# Requests are forgotten in about this time: longer than the gaps between requests of
-# one kind at one instance, shorter than the bursts that change the mix.
-_FORGET_S = 5.0
+# Decay time of the counts: longer than the gaps between requests of one kind at one
+# instance, shorter than the bursts that change the distribution.
+_DECAY_S = 5.0
 
 
 class UrgencyDistribution:
-    """The requests of the last seconds by their urgency."""
+    """Decaying counts of recent requests by urgency."""
 
     def __init__(self) -> None:
         self._count_by_urgency: dict[int, float] = {}
         self._counted_at = 0.0
 
-    def record(self, urgency: int, moment: float) -> None:
-        """Count a request that has come in."""
-        fading = math.exp((self._counted_at - moment) / _FORGET_S)
-        self._counted_at = moment
+    def record(self, urgency: int, now: float) -> None:
+        """Count a request that has arrived."""
+        decay = math.exp((self._counted_at - now) / _DECAY_S)
+        self._counted_at = now
         for known, count in self._count_by_urgency.items():
-            self._count_by_urgency[known] = count * fading
+            self._count_by_urgency[known] = count * decay
         known = self._count_by_urgency.get(urgency, 0.0)
         self._count_by_urgency[urgency] = known + 1.0
 
     def more_urgent_fraction(self, urgency: int) -> float:
-        """Part of the requests that are more urgent, from 0 to 1.
+        """Return the fraction of requests that are more urgent, from 0 to 1.
 
-        The place among all urgencies says less: where teams differ the places of their
-        routes are far apart although hardly anybody may come from the first team.
+        The rank among all urgencies says less: where the ranks of teams differ, those
+        of their routes are far apart although the first team may send hardly any
+        requests.
         """
         total = sum(self._count_by_urgency.values())
         if total <= 0:
--- a/packages/serving/bergamotsaddle_serving/zone_reach.py
+++ b/packages/serving/bergamotsaddle_serving/zone_reach.py
@@ -1,4 +1,4 @@
-"""Which availability zones this instance can reach."""
+"""Detects availability zones that this instance cannot reach."""
 
 import random
 from collections.abc import Callable
@@ -13,55 +13,55 @@
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.view import View
 
-# Of a zone of which no instance was heard for this long, one after the other is asked
-# for a heartbeat. In a large fleet a zone may be silent for so long by chance.
-_INQUIRE_S = 0.3
-# Two rounds of heartbeats and a little: a zone of which no instance was heard for so
-# long, though some were asked, may be cut off.
+# If no instance of a zone was seen for this long, a random one is asked for a heartbeat
+# at each check. In a large fleet a healthy zone may be silent for this long.
+_REQUEST_AFTER_S = 0.3
+# Slightly more than two rounds of heartbeats: a zone of which no instance was seen for
+# this long, although some were asked, may be cut off.
 _SILENT_S = 0.5
 _CHECK_S = 0.2
-# Between two probes of a silent zone at first; the time doubles up to the longest.
-_FIRST_PROBE_S = 0.5
-_LONGEST_PROBE_S = 2.0
-# Ten times the trip between zones and back.
+# Pause between the first two probes of a silent zone; it doubles up to the maximum.
+_INITIAL_PROBE_PAUSE_S = 0.5
+_MAX_PROBE_PAUSE_S = 2.0
+# Ten times the round trip between zones.
 _PROBE_LIMIT_S = 0.25
-_PROBES = 3
+_MAX_PROBES = 3
 _MAX_BODY = 65_536
 
 
-class _Silence:
-    """A zone of which nothing is heard.
+class _SilentZone:
+    """A zone of which no instance is seen.
 
     Args:
-        moment: When it is to be probed first, on the hub's clock.
+        probe_at: When to probe it first, on the hub's clock.
     """
 
-    def __init__(self, moment: float) -> None:
-        self.probe_at = moment
-        self._pause = _FIRST_PROBE_S
+    def __init__(self, probe_at: float) -> None:
+        self.probe_at = probe_at
+        self._pause = _INITIAL_PROBE_PAUSE_S
 
-    def put_off(self) -> None:
-        """Put the next probe off, for longer each time."""
+    def postpone(self) -> None:
+        """Postpone the next probe, for longer each time."""
         self.probe_at = now() + self._pause
-        self._pause = min(_LONGEST_PROBE_S, 2.0 * self._pause)
+        self._pause = min(_MAX_PROBE_PAUSE_S, 2.0 * self._pause)
 
 
 class ZoneReach:
-    """Tells zones that are cut off from those whose instances merely stopped.
+    """Distinguishes zones that are cut off from those whose instances only stopped.
 
     When a zone is cut off, each request and each stage call that is sent there is lost
-    for up to two seconds, and the targets' entries stay as they were. An instance
-    notices that no instance of the zone is heard any more and asks for a sign. Since
-    these may also have stopped, it then probes some of the zone's targets, and takes
-    the zone for cut off only if none of them answers.
+    for up to two seconds, and the targets' entries stay as they were. An instance that
+    sees no heartbeat from the zone any more requests one. Since the zone's instances
+    may also have stopped, it then probes some of the zone's targets, and treats the
+    zone as lost only if none of them responds.
 
-    A zone that was lost is found again by the first heartbeat or answered probe.
+    A lost zone is regained with the first heartbeat or successful probe.
 
     Args:
-        view: Knows the targets.
-        peers: Know when the instances of a zone were heard.
+        view: The targets.
+        peers: Knows when instances of a zone were last seen.
         pool: Connections to targets.
-        dialect: Makes the probe.
+        dialect: Builds the probe.
         logger: Gets a line when a zone is lost or regained.
     """
 
@@ -78,32 +78,32 @@
         self._pool = pool
         self._dialect = dialect
         self._logger = logger
-        # An instance that has just started has not had the time to hear anybody.
-        self._began_at = now()
+        # An instance that has just started has not had the time to see other ones.
+        self._started_at = now()
         self._lost: set[str] = set()
-        self._silence_by_zone: dict[str, _Silence] = {}
-        self._watchers: list[Callable[[], None]] = []
+        self._silent_zone_by_name: dict[str, _SilentZone] = {}
+        self._listeners: list[Callable[[], None]] = []
         self._targets_by_zone: dict[str, list[Target]] = {}
-        view.subscribe(self._note_targets)
-        self._note_targets()
+        view.subscribe(self._on_view_change)
+        self._on_view_change()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Have a function called when a zone is lost or regained."""
-        self._watchers.append(callback)
+        """Register a callback that is called when a zone is lost or regained."""
+        self._listeners.append(callback)
 
     def is_lost(self, zone: str) -> bool:
-        """Tell whether a zone is taken for cut off."""
+        """Return whether a zone is considered cut off."""
         return zone in self._lost
 
     def run(self) -> None:
-        """Look after all zones for ever."""
+        """Check all zones forever."""
         while True:
             for zone, targets in self._targets_by_zone.items():
                 self._check(zone, targets)
             eventlet.sleep(_CHECK_S)
 
-    def _note_targets(self) -> None:
-        """Note the targets that can be asked; those of the own zone are left out."""
+    def _on_view_change(self) -> None:
+        """Update the targets that can be probed, all outside this instance's zone."""
         by_zone: dict[str, list[Target]] = {}
         configuration = self._view.configuration
         services = configuration.services_by_name.values() if configuration else ()
@@ -116,33 +116,35 @@
         self._targets_by_zone = by_zone
 
     def _check(self, zone: str, targets: list[Target]) -> None:
-        moment = now()
-        heard_at = max(self._began_at, self._peers.zone_last_seen_at(zone))
-        if heard_at <= moment - _INQUIRE_S:
+        current_time = now()
+        last_seen_at = max(self._started_at, self._peers.zone_last_seen_at(zone))
+        if last_seen_at <= current_time - _REQUEST_AFTER_S:
             self._peers.request_heartbeat(zone)
-        if heard_at > moment - _SILENT_S:
-            self._silence_by_zone.pop(zone, None)
-            self._note(zone, is_lost=False)
+        if last_seen_at > current_time - _SILENT_S:
+            self._silent_zone_by_name.pop(zone, None)
+            self._set_lost(zone, is_lost=False)
             return
-        silence = self._silence_by_zone.setdefault(zone, _Silence(moment))
-        if silence.probe_at > moment:
+        silent = self._silent_zone_by_name.setdefault(zone, _SilentZone(current_time))
+        if silent.probe_at > current_time:
             return
-        silence.put_off()
-        # One target may have crashed; that several have at once is rare. A zone that is
-        # lost already is found again by any of them.
-        most = 1 if self.is_lost(zone) else _PROBES
-        asked = random.sample(targets, min(most, len(targets)))
-        eventlet.spawn_n(self._probe, zone, asked)
+        silent.postpone()
+        # One target may have crashed, while several crashed at once are rare. A zone
+        # that is already lost is regained with any one of them.
+        probe_count = 1 if self.is_lost(zone) else _MAX_PROBES
+        probed = random.sample(targets, min(probe_count, len(targets)))
+        eventlet.spawn_n(self._probe, zone, probed)
 
     def _probe(self, zone: str, targets: list[Target]) -> None:
-        began_at = now()
-        answers = [eventlet.spawn(self._answers, target) for target in targets]
-        is_lost = not any(answer.wait() for answer in answers)
-        if is_lost and self._peers.zone_last_seen_at(zone) >= began_at:
+        """Probe targets of a zone and update whether it is lost."""
+        started_at = now()
+        responses = [eventlet.spawn(self._responds, target) for target in targets]
+        is_lost = not any(response.wait() for response in responses)
+        if is_lost and self._peers.zone_last_seen_at(zone) >= started_at:
             return
-        self._note(zone, is_lost=is_lost)
+        self._set_lost(zone, is_lost=is_lost)
 
-    def _answers(self, target: Target) -> bool:
+    def _responds(self, target: Target) -> bool:
+        """Return whether a target responds to a query of its free memory."""
         call = self._dialect.query_free_memory(target)
         try:
             connection = self._pool.acquire(target.address, limit=_PROBE_LIMIT_S)
@@ -153,7 +155,7 @@
         self._pool.release(connection, None)
         return True
 
-    def _note(self, zone: str, *, is_lost: bool) -> None:
+    def _set_lost(self, zone: str, *, is_lost: bool) -> None:
         if is_lost == (zone in self._lost):
             return
         if is_lost:
@@ -162,5 +164,5 @@
         else:
             self._lost.discard(zone)
             self._logger.info("zone_regained", zone=zone)
-        for callback in self._watchers:
+        for callback in self._listeners:
             callback()
--- a/tests/test_admission_forecast.py
+++ b/tests/test_admission_forecast.py
@@ -7,7 +7,7 @@
 from bergamotsaddle_serving.admission import Forecast, admits, retry_after
 from bergamotsaddle_serving.stage_load import PendingWork, StageLoad
 
-CALM = Forecast(seconds=0.5, idle_seconds=0.4, objective=1.0, left=4.0)
+CALM = Forecast(seconds=0.5, idle_seconds=0.4, objective=1.0, remaining=4.0)
 
 
 class AdmissionTest(unittest.TestCase):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,7 +12,7 @@
 from bergamotsaddle_standins.peer_fleet import PeerFleet
 from tests._paused import advance, use_paused_clock
 
-TOPIC = Topic("t", keep_seconds=60.0, most=4)
+TOPIC = Topic("t", ttl_seconds=60.0, max_facts=4)
 
 
 class Instance:
@@ -67,7 +67,7 @@
 
     def test_too_many_facts_push_out_those_of_least_worth(self):
         gossip = Gossip()
-        gossip.subscribe(TOPIC, lambda *_: None, worth=lambda key: float(key))
+        gossip.subscribe(TOPIC, lambda *_: None, priority=lambda key: float(key))
         for key in ("5", "1", "4", "2", "3"):
             gossip.record(TOPIC, key, 1.0)
         self.assertEqual({fact.key for fact in gossip.facts()}, {"5", "4", "2", "3"})
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,8 +15,8 @@
 from tests._stages import FOUR_A_CALL
 
 LARGE = 3_000_000
-BUSY = OtherTarget("a", free_in=0.2, room_bytes=18e6)
-LATE = Forecast(seconds=1.5, idle_seconds=0.4, objective=1.0, left=4.0)
+BUSY = OtherTarget("a", free_in=0.2, free_bytes=18e6)
+LATE = Forecast(seconds=1.5, idle_seconds=0.4, objective=1.0, remaining=4.0)
 OVERTAKEN = LATE._replace(seconds=0.67)
 
 
--- a/tests/test_result_memory.py
+++ b/tests/test_result_memory.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from bergamotsaddle_serving.result_memory import FOREIGN_S, FULL_PAUSE_S, ResultMemory
+from bergamotsaddle_serving.result_memory import (
+    FOREIGN_TTL_S,
+    FULL_PAUSE_S,
+    ResultMemory,
+)
 
 LARGE = 3_000_000
 SMALL = 8_000
@@ -51,7 +55,7 @@
         room = ResultMemory(18e6, 4.0)
         room.reconcile(3e6, 10.0)
         self.assertEqual(room.free_bytes(10.1), 3e6)
-        self.assertEqual(room.free_bytes(10.0 + FOREIGN_S), 18e6)
+        self.assertEqual(room.free_bytes(10.0 + FOREIGN_TTL_S), 18e6)
 
     def test_what_was_just_given_up_is_not_taken_for_somebody_elses(self):
         room = ResultMemory(18e6, 4.0)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -27,7 +27,9 @@
     owner.scopes.of.side_effect = lambda service, zone: zone
     owner.loads.return_value = {}
     waits = StageWaits(view, peers, owner)
-    waits._unknown = mock.Mock(return_value=mock.Mock(drain=0.1, call=0.2, rate=10.0))
+    waits._unknown_load = mock.Mock(
+        return_value=mock.Mock(drain=0.1, call=0.2, rate=10.0)
+    )
     return waits
 
 
@@ -83,6 +85,6 @@
         ]
         roster = Roster(told, [], min_cores_fraction=0.5, region=lambda zone: zone)
         self.assertEqual(
-            roster.coming_by_queue,
+            roster.pending_by_queue,
             {("encode", "a"): [1, 3, 2, 0, 0, 0], ("rerank", "b"): [5, 0, 0, 0, 0, 0]},
         )
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -11,7 +11,7 @@
 from bergamotsaddle_serving.owners import rank_owners
 from bergamotsaddle_serving.peer_messages import Contact, Heartbeat
 from bergamotsaddle_serving.peers import Peers
-from bergamotsaddle_serving.scopes import MOST_SHARED, Scopes
+from bergamotsaddle_serving.scopes import MAX_SHARED_TARGETS, Scopes
 from bergamotsaddle_serving.settings import (
     BoundSettings,
     InstanceSettings,
@@ -66,8 +66,8 @@
         [
             ("few", known("a", 3) + known("b", 3), "a", "east"),
             ("other_region", known("a", 3) + known("b", 3), "c", "west"),
-            ("most", known("a", MOST_SHARED), "b", "east"),
-            ("many", known("a", MOST_SHARED) + known("b", 1), "b", "b"),
+            ("most", known("a", MAX_SHARED_TARGETS), "b", "east"),
+            ("many", known("a", MAX_SHARED_TARGETS) + known("b", 1), "b", "b"),
             ("many_elsewhere", known("c", 50) + known("a", 1), "a", "east"),
         ]
     )
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -53,10 +53,15 @@
     )
     def test_it_goes_alone(self, _, works, suspects, called, left):
         """Guards against a fatal request that takes others' pieces with it."""
-        batch = [piece("r", number, work=work) for number, work in enumerate(works)]
-        call, rest = isolate_suspects(batch, lambda work: work in suspects)
-        self.assertEqual("".join(p.work for p in call), called)
-        self.assertEqual("".join(p.work for p in rest), left)
+        batch = [
+            piece("r", number, fingerprint=fingerprint)
+            for number, fingerprint in enumerate(works)
+        ]
+        call, rest = isolate_suspects(
+            batch, lambda fingerprint: fingerprint in suspects
+        )
+        self.assertEqual("".join(p.fingerprint for p in call), called)
+        self.assertEqual("".join(p.fingerprint for p in rest), left)
 
 
 class RankTest(unittest.TestCase):
@@ -256,7 +261,7 @@
         Its result, of megabytes, would then cross zones. Small results may be made
         anywhere: their move costs less than the wait.
         """
-        busy = OtherTarget("a", free_in=0.2, room_bytes=18e6)
+        busy = OtherTarget("a", free_in=0.2, free_bytes=18e6)
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         queue.add(piece("small", zone="a", zone_bytes=SMALL))
@@ -270,7 +275,7 @@
 
         Their results are small, but 8 MB would cross zones for one request.
         """
-        free = OtherTarget("a", free_in=0.1, room_bytes=18e6)
+        free = OtherTarget("a", free_in=0.1, free_bytes=18e6)
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a", has_started=True, zone="a", zone_bytes=480_000))
         self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[free]), [])
@@ -287,7 +292,7 @@
         for number in range(6):
             queue.add(piece("a", number))
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, zone="a")), 4)
-        busy = OtherTarget("a", free_in=0.2, room_bytes=18e6)
+        busy = OtherTarget("a", free_in=0.2, free_bytes=18e6)
         self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[busy]), [])
         batch = queue.pop_batch(0.8, 18e6, zone="b", others=[busy])
         self.assertEqual(len(batch), 2)
@@ -295,7 +300,7 @@
     def test_large_results_leave_a_zone_without_a_target(self):
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
-        other = OtherTarget("c", free_in=0.0, room_bytes=18e6)
+        other = OtherTarget("c", free_in=0.0, free_bytes=18e6)
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[other])
         self.assertEqual(requests(batch), ["large"])
 
@@ -309,7 +314,7 @@
         for number in range(8):
             queue.add(piece("a", number, result_bytes=LARGE))
         self.assertEqual(queue.pop_batch(0.0, 18e6), [])
-        other = OtherTarget("b", free_in=0.0, room_bytes=18e6)
+        other = OtherTarget("b", free_in=0.0, free_bytes=18e6)
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, others=[other])), 4)
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, others=[])), 4)
 
@@ -323,8 +328,8 @@
         for request in "ab":
             for number in range(8):
                 queue.add(piece(request, number, result_bytes=LARGE))
-        other = OtherTarget("b", free_in=0.2, room_bytes=18e6)
+        other = OtherTarget("b", free_in=0.2, free_bytes=18e6)
         first = queue.pop_batch(0.0, 18e6, others=[other])
-        left = OtherTarget("a", free_in=0.2, room_bytes=6e6)
+        left = OtherTarget("a", free_in=0.2, free_bytes=6e6)
         second = queue.pop_batch(0.0, 18e6, zone="b", others=[left])
         self.assertEqual(requests([*first, *second]), ["a"])
--- a/tests/test_urgency_distribution.py
+++ b/tests/test_urgency_distribution.py
@@ -7,7 +7,7 @@
 from bergamotsaddle_serving.admission import Forecast, admits
 from bergamotsaddle_serving.urgency_distribution import UrgencyDistribution
 
-NEARLY_FULL = Forecast(seconds=0.9, idle_seconds=0.4, objective=1.4, left=5.0)
+NEARLY_FULL = Forecast(seconds=0.9, idle_seconds=0.4, objective=1.4, remaining=5.0)
 
 
 def mix_of(*urgencies):
