--- a/packages/serving/bergamotsaddle_serving/health.py
+++ b/packages/serving/bergamotsaddle_serving/health.py
@@ -22,6 +22,17 @@
     Args:
         target: The target.
         on_limit: Called with the target and the limit that each response names.
+
+    Attributes:
+        target: The target.
+        in_flight: Running requests of this instance.
+        prompt_tokens_ahead: Prompt tokens of these that wait for prefill.
+        latency: Moving average of the seconds of a request.
+        failures: Number of failures in a row.
+        backoff_until: When the target may get requests again.
+        last_seen_at: When it last responded.
+        load: Last load that it reported, None before the first report.
+        load_at: When it reported that load.
     """
 
     def __init__(
@@ -89,13 +100,13 @@
         on_limit: Callable[[Target, float | None], None] = lambda target, limit: None,
     ) -> None:
         self._on_limit = on_limit
-        self._state_by_life: dict[tuple[str, int], TargetState] = {}
+        self._state_by_incarnation: dict[tuple[str, int], TargetState] = {}
 
     def of(self, target: Target) -> TargetState:
         """Return the state of a target's incarnation."""
-        state = self._state_by_life.get(target.incarnation)
+        state = self._state_by_incarnation.get(target.incarnation)
         if state is None:
-            state = self._state_by_life[target.incarnation] = TargetState(
+            state = self._state_by_incarnation[target.incarnation] = TargetState(
                 target, self._on_limit
             )
         state.target = target
@@ -103,15 +114,15 @@
 
     def keep_only(self, incarnations: set[tuple[str, int]]) -> None:
         """Forget other incarnations that run no request of this instance."""
-        for life, state in list(self._state_by_life.items()):
-            if life not in incarnations and not state.in_flight:
-                del self._state_by_life[life]
+        for incarnation, state in list(self._state_by_incarnation.items()):
+            if incarnation not in incarnations and not state.in_flight:
+                del self._state_by_incarnation[incarnation]
 
     def prefill_tokens(self) -> dict[str, int]:
         """Return this instance's prompt tokens that wait for prefill, by target id."""
         return {
             state.target.id: state.prompt_tokens_ahead
-            for state in self._state_by_life.values()
+            for state in self._state_by_incarnation.values()
             if state.prompt_tokens_ahead
         }
 
@@ -119,6 +130,6 @@
         """Return this instance's running requests by target id."""
         return {
             state.target.id: state.in_flight
-            for state in self._state_by_life.values()
+            for state in self._state_by_incarnation.values()
             if state.in_flight
         }
--- a/packages/serving/bergamotsaddle_serving/stage_plan.py
+++ b/packages/serving/bergamotsaddle_serving/stage_plan.py
@@ -28,6 +28,14 @@
         started_at: When the request arrived.
         finish_seconds: Expected seconds from the last stage to the first event.
         policy: Mechanisms that are in force.
+
+    Attributes:
+        zone: Zone in which the stages should run.
+        pieces: Number of pieces of each stage.
+        needed: Stages that have pieces.
+        seconds: Expected seconds of each needed stage.
+        scope_by_stage: Zone or region whose queue each needed stage should use.
+        sinks: Needed stages that no other stage follows.
     """
 
     def __init__(
@@ -146,7 +154,7 @@
         return due - now - remaining
 
     def elapsed(self, now: float) -> float:
-        """Return the seconds since the last stage ended, or since the request came."""
+        """Return the seconds since the last stage ended, or since the start."""
         return now - self._last_stage_end_at
 
     def record_stage_done(self, now: float) -> None:
--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -184,6 +184,12 @@
     Args:
         batching: How the targets of the service work.
         policy: Mechanisms that choose the pieces.
+
+    Attributes:
+        batching: How the targets of the service work.
+        piece_by_key: The waiting pieces.
+        started_stages: Request and stage of which some pieces were already taken.
+        mean_call_size: Mean number of pieces per call under load.
     """
 
     def __init__(self, batching: Batching, policy: Policy = FULL_POLICY) -> None:
--- a/packages/serving/bergamotsaddle_serving/stage_waits.py
+++ b/packages/serving/bergamotsaddle_serving/stage_waits.py
@@ -183,7 +183,7 @@
         return StageLoad(drain + ahead / max(rate, _MIN_RATE), call, rate)
 
     def _pending_ahead(self, service: str, scope: str, place: int) -> int:
-        """Return the pending pieces of all instances that go before a place."""
+        """Return the pending pieces of all instances up to a place."""
         if not self._policy.has(Mechanism.COMING_PIECES):
             return 0
         urgency = urgency_of(place)
