--- a/packages/serving/bergamotsaddle_serving/attempt.py
+++ b/packages/serving/bergamotsaddle_serving/attempt.py
@@ -51,7 +51,7 @@
     """The head of a target's answer to this very request."""
 
     head: RawResponseHead
-    answer: ResponseHead
+    decoded: ResponseHead
 
     @property
     def is_success(self) -> bool:
@@ -84,7 +84,7 @@
         self._pool = pool
         self._dialect = dialect
         self._connection: Connection | None = None
-        self._keep: float | None = None
+        self._keep_alive_seconds: float | None = None
         self.started_at = now()
 
     def __enter__(self) -> "Attempt":
@@ -134,23 +134,25 @@
             size = connection.send(call, limit=limit)
             if on_sent is not None:
                 on_sent(size)
-            head = self._await_head(connection, limit, most or limit)
+            head = self._read_head(connection, limit, most or limit)
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError(error.reason) from error
-        return self._check(head)
+        return self._check_head(head)
 
-    def _await_head(
+    def _read_head(
         self, connection: Connection, limit: float, most: float
     ) -> RawResponseHead:
-        ends_at = now() + most
+        deadline_at = now() + most
         while True:
-            asked_at = now()
+            waiting_since = now()
             try:
-                return connection.read_head(limit=min(limit, ends_at - asked_at))
+                return connection.read_head(
+                    limit=min(limit, deadline_at - waiting_since)
+                )
             except ConnectionLostError as error:
-                is_busy = self._state.last_seen_at > asked_at
-                if error.reason != "silent" or not is_busy or now() >= ends_at:
+                is_busy = self._state.last_seen_at > waiting_since
+                if error.reason != "silent" or not is_busy or now() >= deadline_at:
                     raise
 
     def read_body(self, *, limit: float, most: int) -> bytes:
@@ -164,7 +166,7 @@
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError(error.reason) from error
-        self._give_back()
+        self._return_connection()
         return body
 
     def read_some(self, *, limit: float) -> bytes | None:
@@ -180,29 +182,29 @@
             raise OutcomeUnknownError(error.reason) from error
         self._state.last_seen_at = now()
         if data is None:
-            self._give_back()
+            self._return_connection()
         return data
 
-    def _check(self, head: RawResponseHead) -> Response:
-        answer = self._dialect.read_response(head.headers)
-        self._keep = answer.keep_alive_seconds
-        self._state.record_load(answer.load)
-        if answer.limit is not None:
-            self._state.record_limit(answer.limit)
-        if answer.not_run or head.status == _MISDIRECTED:
+    def _check_head(self, head: RawResponseHead) -> Response:
+        decoded = self._dialect.read_response(head.headers)
+        self._keep_alive_seconds = decoded.keep_alive_seconds
+        self._state.record_load(decoded.load)
+        if decoded.limit is not None:
+            self._state.record_limit(decoded.limit)
+        if decoded.not_run or head.status == _MISDIRECTED:
             self._drain()
             raise NotRunError("refused", head.status)
-        if answer.request_id and answer.request_id != self._context.head.id:
+        if decoded.request_id and decoded.request_id != self._context.head.id:
             # A late answer to an earlier request: this one's may still come, but
             # which bytes are whose can't be told any more on this connection.
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError("crossed")
-        if answer.is_encoded or (head.status in _SUCCESS and not answer.is_signed):
+        if decoded.is_encoded or (head.status in _SUCCESS and not decoded.is_signed):
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError("unsigned")
         # A refusal may leave the limit out; only an answer that ran ends it.
-        self._state.record_limit(answer.limit)
-        return Response(head, answer)
+        self._state.record_limit(decoded.limit)
+        return Response(head, decoded)
 
     def _drain(self) -> None:
         try:
@@ -210,8 +212,8 @@
         except ConnectionLostError:
             # The refusal's body is of no use; only the connection is lost with it.
             return
-        self._give_back()
+        self._return_connection()
 
-    def _give_back(self) -> None:
+    def _return_connection(self) -> None:
         connection, self._connection = self._connection, None
-        self._pool.release(connection, self._keep)
+        self._pool.release(connection, self._keep_alive_seconds)
--- a/packages/serving/bergamotsaddle_serving/events.py
+++ b/packages/serving/bergamotsaddle_serving/events.py
@@ -23,7 +23,7 @@
     """Takes bytes as they come and gives whole events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Take bytes.
@@ -31,16 +31,16 @@
         Returns:
             The events that they complete.
         """
-        self._rest += data
+        self._remainder += data
         events = []
-        while match := _EVENT_END.search(self._rest):
-            whole = self._rest[: match.end()]
-            self._rest = self._rest[match.end() :]
-            number = _ID_LINE.search(whole)
-            events.append(StreamEvent(whole, int(number.group(1)) if number else None))
+        while match := _EVENT_END.search(self._remainder):
+            event = self._remainder[: match.end()]
+            self._remainder = self._remainder[match.end() :]
+            number = _ID_LINE.search(event)
+            events.append(StreamEvent(event, int(number.group(1)) if number else None))
         return events
 
     @property
     def remainder(self) -> bytes:
         """Bytes of an event that has not ended."""
-        return self._rest
+        return self._remainder
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -38,7 +38,7 @@
 from bergamotsaddle_serving.suspects import Suspects
 from bergamotsaddle_serving.view import View
 
-_CLOSING = frozenset(
+_CLOSING_KINDS = frozenset(
     (
         ErrorKind.BAD_REQUEST,
         ErrorKind.TOO_LARGE,
@@ -46,9 +46,9 @@
         ErrorKind.TOO_SLOW,
     )
 )
-_LONGEST_RETRY_PART = 1 / 3
-_WHOLE = "whole"
-_LEFT = "caller_left"
+_MAX_RETRY_AFTER_FRACTION = 1 / 3
+_COMPLETE = "whole"
+_CALLER_LEFT = "caller_left"
 
 
 class _OutOfTimeError(BergamotsaddleError):
@@ -127,7 +127,7 @@
         """Serve a connection until it ends."""
         self.connections.add(caller)
         try:
-            while self._next(caller):
+            while self._serve_next(caller):
                 continue
         except CallerLeftError:
             # It left in the middle of sending a request, which has not run.
@@ -136,11 +136,11 @@
             self.connections.discard(caller)
             caller.close()
 
-    def _next(self, caller: CallerConnection) -> bool:
+    def _serve_next(self, caller: CallerConnection) -> bool:
         try:
             raw = caller.read()
         except RequestError as error:
-            self._refuse(caller, "", error)
+            self._send_error(caller, "", error)
             return False
         if raw is None:
             return False
@@ -153,43 +153,43 @@
         return caller.prepare_next()
 
     def _serve(self, caller: CallerConnection, raw: RawRequest) -> None:
-        began_at = raw.started_at
+        started_at = raw.started_at
         request_id = ""
-        outcome: str = _WHOLE
+        outcome: str = _COMPLETE
         context = None
         try:
             head = self._dialect.read_head(raw.method, raw.path, raw.headers)
             request_id = head.id
-            context = self._context(head, raw)
+            context = self._make_context(head, raw)
             if self._suspects.is_quarantined(context.fingerprint):
                 raise context.quarantine_error()
             self._budget.count_request(context.service.name)
             self._run(caller, context)
         except RequestError as error:
             outcome = error.kind
-            self._fail(caller, request_id, error, context)
+            self._handle_error(caller, request_id, error, context)
         except CallerLeftError:
-            outcome = _LEFT
+            outcome = _CALLER_LEFT
             caller.reset()
         except Exception:
             # An error nobody thought of must not leave the caller without an end.
             outcome = ErrorKind.INTERNAL
             self._logger.exception("request_error", request=request_id)
             detail = "internal error"
-            self._fail(
+            self._handle_error(
                 caller, request_id, RequestError(ErrorKind.INTERNAL, detail), context
             )
-        self._note(request_id, context, outcome, now() - began_at)
+        self._record_outcome(request_id, context, outcome, now() - started_at)
 
     def _run(self, caller: CallerConnection, context: Context) -> None:
-        def work() -> None:
+        def dispatch() -> None:
             with eventlet.Timeout(max(0.001, context.remaining), _OutOfTimeError("")):
-                self._work(caller, context)
+                self._dispatch(caller, context)
 
         worker = eventlet.getcurrent()
         self._workers.add(worker)
         try:
-            caller.run_while_connected(work)
+            caller.run_while_connected(dispatch)
         except _OutOfTimeError as error:
             raise context.abort_error(
                 ErrorKind.DEADLINE_PASSED, "out of time"
@@ -199,14 +199,14 @@
         finally:
             self._workers.discard(worker)
 
-    def _work(self, caller: CallerConnection, context: Context) -> None:
+    def _dispatch(self, caller: CallerConnection, context: Context) -> None:
         if context.route.kind is Kind.STREAM:
             self._streams.serve(context, caller)
             return
-        answer = self._plain.serve(context)
-        caller.respond(answer.status, answer.headers, answer.body)
+        response = self._plain.serve(context)
+        caller.respond(response.status, response.headers, response.body)
 
-    def _context(self, head: RequestHead, raw: RawRequest) -> Context:
+    def _make_context(self, head: RequestHead, raw: RawRequest) -> Context:
         configuration = self._view.configuration
         if configuration is None or not self._view.is_complete():
             raise RequestError(ErrorKind.NOT_READY, "no configuration is known yet")
@@ -260,7 +260,7 @@
             raise RequestError(ErrorKind.NO_TARGET, f"service {name} isn't declared")
         return service
 
-    def _fail(
+    def _handle_error(
         self,
         caller: CallerConnection,
         request_id: str,
@@ -272,11 +272,11 @@
             caller.reset()
             return
         if error.retry_after is not None and context is not None:
-            most = max(0.0, context.remaining * _LONGEST_RETRY_PART)
-            error.retry_after = min(error.retry_after, most)
-        self._refuse(caller, request_id, error)
+            max_retry_after = max(0.0, context.remaining * _MAX_RETRY_AFTER_FRACTION)
+            error.retry_after = min(error.retry_after, max_retry_after)
+        self._send_error(caller, request_id, error)
 
-    def _refuse(
+    def _send_error(
         self, caller: CallerConnection, request_id: str, error: RequestError
     ) -> None:
         headers = [(b"content-type", b"application/json")]
@@ -284,7 +284,7 @@
             headers.append((b"x-request-id", request_id.encode("latin-1")))
         if error.retry_after is not None and error.ran is Ran.NO:
             headers.append((b"retry-after", b"%.3f" % error.retry_after))
-        if error.kind in _CLOSING:
+        if error.kind in _CLOSING_KINDS:
             caller.must_close = True
         body = msgspec.json.encode(ErrorResponse(error.kind, error.ran, error.detail))
         try:
@@ -293,13 +293,13 @@
             # There is nobody to tell any more; the request's own line says the rest.
             caller.reset()
 
-    def _note(
+    def _record_outcome(
         self, request_id: str, context: Context | None, outcome: str, seconds: float
     ) -> None:
         route = context.route.name if context else ""
         self._metrics.count_request(route, outcome, seconds)
-        write = self._logger.info if outcome == _WHOLE else self._logger.warning
-        write(
+        log = self._logger.info if outcome == _COMPLETE else self._logger.warning
+        log(
             "request",
             request=request_id,
             route=route,
--- a/packages/serving/bergamotsaddle_serving/plain.py
+++ b/packages/serving/bergamotsaddle_serving/plain.py
@@ -18,12 +18,12 @@
 from bergamotsaddle_serving.selector import Candidate, Selector
 from bergamotsaddle_serving.target_crashes import TargetCrashes
 
-_MAX_ANSWER_BYTES = 64_000_000
+_MAX_RESPONSE_BYTES = 64_000_000
 _SERVER_ERROR = 500
 # A target that takes this many times the usual time has lost the request, or is slow
 # enough for another one to answer earlier.
 _SLOW_FACTOR = 5.0
-_LEAST_LIMIT_S = 0.3
+_MIN_TIMEOUT_S = 0.3
 # Targets tried for a request that none of them ran.
 _MAX_REFUSALS = 3
 
@@ -60,7 +60,7 @@
         crashes: TargetCrashes,
     ) -> None:
         self._suspects = crashes.suspects
-        self._ends = crashes
+        self._crashes = crashes
         self._selector = selector
         self._pool = pool
         self._budget = budget
@@ -79,35 +79,35 @@
         ran = 0
         refusals = 0
         while True:
-            candidate = self._next(context, tried, denied)
+            candidate = self._next_candidate(context, tried, denied)
             if candidate is None:
-                return self._give_up(context, failure, ran)
+                return self._finish_failed(context, failure, ran)
             tried.add(candidate.target.id)
             can_repeat = context.route.may_repeat and ran + 1 < context.route.attempts
             try:
-                answer = self._try(context, candidate, can_repeat=can_repeat)
+                response = self._try(context, candidate, can_repeat=can_repeat)
             except NotRunError as error:
-                self._note(context, candidate, error.reason, "no")
+                self._log_failed_attempt(context, candidate, error.reason, "no")
                 refusals += 1
                 if refusals >= _MAX_REFUSALS:
-                    return self._give_up(context, failure, ran)
+                    return self._finish_failed(context, failure, ran)
                 continue
             except OutcomeUnknownError as error:
-                self._note(context, candidate, error.reason, "unknown")
+                self._log_failed_attempt(context, candidate, error.reason, "unknown")
                 ran += 1
-                self._ends.record_failure(
+                self._crashes.record_failure(
                     candidate.target, [context.fingerprint], error.reason
                 )
                 if not can_repeat or self._suspects.is_quarantined(context.fingerprint):
-                    return self._give_up(context, failure, ran)
+                    return self._finish_failed(context, failure, ran)
                 continue
             ran += 1
             self._suspects.record_success(candidate.target, context.fingerprint)
-            if answer.status < _SERVER_ERROR or not can_repeat:
-                return answer
-            failure = answer
+            if response.status < _SERVER_ERROR or not can_repeat:
+                return response
+            failure = response
 
-    def _next(
+    def _next_candidate(
         self, context: Context, tried: set[str], denied: set[str]
     ) -> Candidate | None:
         """The target to try next, None if there is none.
@@ -144,19 +144,19 @@
         state = candidate.state
         limit = context.remaining
         if can_repeat and self._budget.remaining(context.service.name) >= 1:
-            limit = min(limit, max(_LEAST_LIMIT_S, _SLOW_FACTOR * state.latency))
+            limit = min(limit, max(_MIN_TIMEOUT_S, _SLOW_FACTOR * state.latency))
         self._selector.record_sent(candidate, context.service)
         with Attempt(context, state, self._pool, self._dialect) as attempt:
             dispatch = Dispatch(candidate.target, context.remaining, context.team)
-            reply = attempt.send(dispatch, limit=limit)
-            body = attempt.read_body(limit=limit, most=_MAX_ANSWER_BYTES)
-            if reply.head.status in NOT_RUN_STATUSES:
-                raise OutcomeUnknownError(f"status {reply.head.status}")
+            response = attempt.send(dispatch, limit=limit)
+            body = attempt.read_body(limit=limit, most=_MAX_RESPONSE_BYTES)
+            if response.head.status in NOT_RUN_STATUSES:
+                raise OutcomeUnknownError(f"status {response.head.status}")
             state.record_success(now() - attempt.started_at)
-        headers = list(end_to_end_headers(reply.head.headers))
-        return CompleteResponse(reply.head.status, headers, body)
+        headers = list(end_to_end_headers(response.head.headers))
+        return CompleteResponse(response.head.status, headers, body)
 
-    def _give_up(
+    def _finish_failed(
         self, context: Context, failure: CompleteResponse | None, ran: int
     ) -> CompleteResponse:
         if failure is not None:
@@ -172,7 +172,7 @@
             ErrorKind.TARGET_FAILED, "the target broke off", ran=Ran.UNKNOWN
         )
 
-    def _note(
+    def _log_failed_attempt(
         self, context: Context, candidate: Candidate, reason: str, ran: str
     ) -> None:
         self._logger.warning(
--- a/packages/serving/bergamotsaddle_serving/stage_calls.py
+++ b/packages/serving/bergamotsaddle_serving/stage_calls.py
@@ -13,10 +13,10 @@
 
 _OK = 200
 _MISDIRECTED = 421
-_MAX_BODY = 1_000_000
+_MAX_BODY_BYTES = 1_000_000
 # Calls that need no turn at the target are answered within a few ms.
-_RELEASE_LIMIT_S = 0.5
-_ASK_LIMIT_S = 0.3
+_RELEASE_TIMEOUT_S = 0.5
+_QUERY_TIMEOUT_S = 0.3
 
 
 class StageCalls:
@@ -67,10 +67,9 @@
         urgency = min(piece.urgency for piece in batch)
         if not self._rates.reserve(target, batch[0].key.request, urgency):
             return None
-        moment = now()
+        at = now()
         pieces = [
-            Piece(*p.key[:3], p.input_key, p.inputs, p.expires_at - moment)
-            for p in batch
+            Piece(*p.key[:3], p.input_key, p.inputs, p.expires_at - at) for p in batch
         ]
         call = self._dialect.run_pieces(pieces, target)
         status, body = self._exchange(target, call, limit)
@@ -91,7 +90,7 @@
             ValueError: If it sent no such answer.
         """
         call = self._dialect.query_free_memory(target)
-        _, body = self._exchange(target, call, _ASK_LIMIT_S)
+        _, body = self._exchange(target, call, _QUERY_TIMEOUT_S)
         return self._dialect.read_free_memory(body)
 
     def release(self, target: Target, handles: Sequence[str]) -> None:
@@ -101,15 +100,15 @@
             ConnectionLostError: If the target did not answer.
         """
         call = self._dialect.release_results(handles, target)
-        self._exchange(target, call, _RELEASE_LIMIT_S)
+        self._exchange(target, call, _RELEASE_TIMEOUT_S)
 
     def _exchange(
         self, target: Target, call: HttpCall, limit: float
     ) -> tuple[int, bytes]:
         connection = self._pool.acquire(target.address)
-        head, body = connection.exchange(call, limit=limit, max_bytes=_MAX_BODY)
-        answer = self._dialect.read_response(head.headers)
-        if answer.limit is not None or head.status == _OK:
-            self._limits.record(target, answer.limit)
-        self._pool.release(connection, answer.keep_alive_seconds)
+        head, body = connection.exchange(call, limit=limit, max_bytes=_MAX_BODY_BYTES)
+        response = self._dialect.read_response(head.headers)
+        if response.limit is not None or head.status == _OK:
+            self._limits.record(target, response.limit)
+        self._pool.release(connection, response.keep_alive_seconds)
         return head.status, body
--- a/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -35,7 +35,7 @@
 _SCAN_PAUSE_S = 5e-5
 # How long after a call the next one may wait for the room that its results give up:
 # their way to the sender, from there to an engine, and the word that they were fetched.
-_ROOM_WAIT_S = 0.09
+_MEMORY_WAIT_S = 0.09
 # Of a result's handle in a call.
 _HANDLE_BYTES = 40
 
@@ -79,7 +79,7 @@
         *,
         crashes: TargetCrashes,
     ) -> None:
-        self._ends = crashes
+        self._crashes = crashes
         self._policy = policy
         self._fetch_times = fetch_times
         self._calls = calls
@@ -91,99 +91,99 @@
 
     def run(self, queue: ServiceQueue, worker: Worker) -> None:
         """Call a target while it belongs to the queue."""
-        while queue.worker_by_life.get(worker.target.incarnation) is worker:
-            moment = now()
-            if worker.rest_until > moment:
+        while queue.worker_by_incarnation.get(worker.target.incarnation) is worker:
+            at = now()
+            if worker.backoff_until > at:
                 self.reject_if_no_target(queue)
-                eventlet.sleep(min(_IDLE_CHECK_S, worker.rest_until - moment))
+                eventlet.sleep(min(_IDLE_CHECK_S, worker.backoff_until - at))
                 continue
             # Asked first, a dead target holds no pieces up for a whole call.
-            if worker.failures and not self._ask_room(worker):
-                worker.rest()
+            if worker.failures and not self._query_memory(worker):
+                worker.back_off()
                 continue
-            expired = queue.queue.pop_expired(moment, worker.pace)
+            expired = queue.queue.pop_expired(at, worker.slowdown)
             late = PieceResult("", PieceFailure.LATE)
             self._results.finish(queue, [(piece.key, late) for piece in expired])
             batch = queue.queue.pop_batch(
-                moment,
-                worker.room.free_bytes(moment),
-                worker.pace,
-                may_wait=moment < worker.full_call_by,
+                at,
+                worker.memory.free_bytes(at),
+                worker.slowdown,
+                may_wait=at < worker.wait_for_memory_until,
                 zone=worker.target.zone,
-                others=queue.others(worker),
+                others=queue.other_targets(worker),
             )
             if not batch:
-                self._await_news(queue, worker)
+                self._wait_for_change(queue, worker)
                 continue
-            batch = self._leave_suspects(queue, batch)
+            batch = self._isolate_suspects(queue, batch)
             if batch:
                 self._call(queue, worker, batch)
 
-    def _leave_suspects(
+    def _isolate_suspects(
         self, queue: ServiceQueue, batch: list[QueuedPiece]
     ) -> list[QueuedPiece]:
         """The pieces that may go into one call; others wait or are given up."""
-        suspects = self._ends.suspects
+        suspects = self._crashes.suspects
         fatal = [piece for piece in batch if suspects.is_quarantined(piece.work)]
         failed = PieceResult("", PieceFailure.FAILED)
         self._results.finish(queue, [(piece.key, failed) for piece in fatal])
-        harmless = [piece for piece in batch if piece not in fatal]
-        call, rest = isolate_suspects(harmless, suspects.is_suspect)
-        for piece in rest:
+        allowed = [piece for piece in batch if piece not in fatal]
+        call, remainder = isolate_suspects(allowed, suspects.is_suspect)
+        for piece in remainder:
             queue.queue.add(piece)
         return call
 
-    def _await_news(self, queue: ServiceQueue, worker: Worker) -> None:
+    def _wait_for_change(self, queue: ServiceQueue, worker: Worker) -> None:
         # Taken before the pause: news that come in it would else go unheard.
-        news = queue.news
+        changed = queue.changed
         # Each piece that comes and each result that is given up wakes all workers. In
         # a burst each of them would go through hundreds of pieces hundreds of times a
         # second, only to find no room; the owner would answer late, and be left.
         eventlet.sleep(len(queue.queue) * _SCAN_PAUSE_S)
-        wait = worker.full_call_by - now()
+        wait = worker.wait_for_memory_until - now()
         if not len(queue.queue):
             wait = _EMPTY_CHECK_S
         elif wait <= 0:
             wait = _IDLE_CHECK_S
         with eventlet.Timeout(wait, False):
-            news.wait()
+            changed.wait()
 
     def _call(
         self, queue: ServiceQueue, worker: Worker, batch: list[QueuedPiece]
     ) -> None:
         size = sum(piece.result_bytes for piece in batch)
         expected = queue.queue.batching.seconds(len(batch))
-        began_at = now()
-        worker.free_at = began_at + expected * worker.pace
-        worker.room.reserve(size, began_at)
+        started_at = now()
+        worker.free_at = started_at + expected * worker.slowdown
+        worker.memory.reserve(size, started_at)
         queue.running.update(piece.key for piece in batch)
         self.calls_made += 1
         self.pieces_sent += len(batch)
-        limit = expected * max(1.0, worker.pace) * _LOST_FACTOR + _LOST_EXTRA_S
-        started = self._announce_start(queue, worker, batch)
+        limit = expected * max(1.0, worker.slowdown) * _LOST_FACTOR + _LOST_EXTRA_S
+        started = self._schedule_started(queue, worker, batch)
         try:
             results = self._calls.run(worker.target, batch, limit)
         except (ConnectionLostError, ValueError) as error:
             reason = getattr(error, "reason", "")
-            works = sorted({piece.work for piece in batch})
-            self._ends.record_failure(worker.target, works, reason)
-            self._fail(queue, worker, batch, str(error))
+            fingerprints = sorted({piece.work for piece in batch})
+            self._crashes.record_failure(worker.target, fingerprints, reason)
+            self._handle_failure(queue, worker, batch, str(error))
             return
         finally:
             if started is not None:
                 started.cancel()
-            worker.room.release_reservation(size)
+            worker.memory.release_reservation(size)
             queue.running.difference_update(piece.key for piece in batch)
             worker.free_at = now()
-            worker.full_call_by = now() + _ROOM_WAIT_S
+            worker.wait_for_memory_until = now() + _MEMORY_WAIT_S
         if results is None:
-            worker.note_shared()
-            self._put_back(queue, batch, None)
+            worker.record_sharing()
+            self._requeue(queue, batch, None)
             eventlet.sleep(_FULL_PAUSE_S)
             return
-        worker.learn(now() - began_at, expected)
+        worker.record_call_seconds(now() - started_at, expected)
         for work in {piece.work for piece in batch}:
-            self._ends.suspects.record_success(worker.target, work)
+            self._crashes.suspects.record_success(worker.target, work)
         self._logger.info(
             "stage_call",
             service=queue.service,
@@ -192,18 +192,18 @@
             pieces=len(batch),
             away=sum(p.zone != worker.target.zone for p in batch if is_large(p)),
             waiting=len(queue.queue),
-            seconds=round(now() - began_at, 3),
+            seconds=round(now() - started_at, 3),
             unmade=[result.reason for result in results if result.reason],
-            room=int(worker.room.free_bytes(now())),
+            room=int(worker.memory.free_bytes(now())),
             requests=sorted({piece.key.request for piece in batch}),
         )
         if any(result.reason == PieceFailure.GONE for result in results):
-            worker.note_shared()
+            worker.record_sharing()
         if any(result.reason == PieceFailure.NO_MEMORY for result in results):
-            self._ask_room(worker)
-        self._take_results(queue, worker, batch, results)
+            self._query_memory(worker)
+        self._handle_results(queue, worker, batch, results)
 
-    def _ask_room(self, worker: Worker) -> bool:
+    def _query_memory(self, worker: Worker) -> bool:
         """Ask a target for its room; False if it does not answer."""
         try:
             free = self._calls.query_free_memory(worker.target)
@@ -214,22 +214,22 @@
             )
             return False
         worker.failures = 0
-        believed = worker.room.free_bytes(now())
-        worker.room.reconcile(free, now())
+        believed = worker.memory.free_bytes(now())
+        worker.memory.reconcile(free, now())
         self._logger.info(
             "room", target=worker.target.id, free=int(free), believed=int(believed)
         )
         return True
 
-    def _fail(
+    def _handle_failure(
         self,
         queue: ServiceQueue,
         worker: Worker,
         batch: list[QueuedPiece],
         reason: str,
     ) -> None:
-        worker.rest()
-        worker.note_shared()
+        worker.back_off()
+        worker.record_sharing()
         self._logger.warning(
             "stage_call_failed",
             service=queue.service,
@@ -237,9 +237,9 @@
             reason=reason,
             requests=sorted({piece.key.request for piece in batch}),
         )
-        self._put_back(queue, batch, PieceFailure.FAILED)
+        self._requeue(queue, batch, PieceFailure.FAILED)
 
-    def _put_back(
+    def _requeue(
         self, queue: ServiceQueue, batch: list[QueuedPiece], reason: PieceFailure | None
     ) -> None:
         for piece in batch:
@@ -251,40 +251,40 @@
                 continue
             failed_calls = piece.failed_calls + (reason == PieceFailure.FAILED)
             queue.queue.add(piece._replace(failed_calls=failed_calls))
-        queue.wake()
+        queue.wake_workers()
 
-    def _take_results(
+    def _handle_results(
         self,
         queue: ServiceQueue,
         worker: Worker,
         batch: list[QueuedPiece],
         results: list[PieceResult],
     ) -> None:
-        moment = now()
-        ended: list[FinishedPiece] = []
-        needless: list[str] = []
+        at = now()
+        finished: list[FinishedPiece] = []
+        unneeded: list[str] = []
         for piece, result in zip(batch, results, strict=True):
             if result.handle:
-                worker.room.add(result.handle, piece.result_bytes, moment)
+                worker.memory.add(result.handle, piece.result_bytes, at)
             if piece.key.request in queue.cancelled:
-                needless += [result.handle] if result.handle else []
+                unneeded += [result.handle] if result.handle else []
             elif result.reason == PieceFailure.NO_MEMORY:
-                worker.room.record_full(piece.result_bytes, moment)
+                worker.memory.record_full(piece.result_bytes, at)
                 queue.queue.add(piece)
             else:
-                ended.append((piece.key, result))
-        self._releases.give_up(queue, needless)
-        self._results.finish(queue, ended)
+                finished.append((piece.key, result))
+        self._releases.release(queue, unneeded)
+        self._results.finish(queue, finished)
 
     def reject_if_no_target(self, queue: ServiceQueue) -> None:
         """Send all pieces back if every target rests after failures.
 
         They have better chances at another queue, and their senders choose that.
         """
-        if not queue.fit_workers():
+        if not queue.available_workers():
             self._results.finish_waiting(queue, PieceFailure.NO_TARGET)
 
-    def _announce_start(
+    def _schedule_started(
         self, queue: ServiceQueue, worker: Worker, batch: list[QueuedPiece]
     ) -> GreenThread | None:
         if worker.is_shared() or not self._policy.has(Mechanism.EARLY_RELEASE):
--- a/packages/serving/bergamotsaddle_serving/stage_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/stage_exchange.py
@@ -20,7 +20,7 @@
 from bergamotsaddle_serving.stage_owner import StageOwner
 
 # An owner that dies is noticed within a second; what it was sent before that is kept.
-_KEEP_RELEASES_S = 1.5
+_RELEASE_MEMORY_S = 1.5
 
 
 class _SentRelease(NamedTuple):
@@ -46,18 +46,18 @@
         self._inbox_by_request: dict[str, LightQueue] = {}
         self._sent_releases: deque[_SentRelease] = deque()
         owner.results.deliver_locally = self.deliver
-        peers.set_handler(Submit, self._serve)
-        peers.set_handler(Accepted, self._take_acknowledgement)
+        peers.set_handler(Submit, self._handle_submit)
+        peers.set_handler(Accepted, self._handle_acknowledgement)
         peers.set_handler(Started, lambda message, _: self.deliver(message))
         peers.set_handler(Results, lambda message, _: self.deliver(message))
         peers.set_handler(Cancel, lambda message, _: owner.cancel(message))
         peers.set_handler(Release, lambda message, _: owner.release(message))
 
-    def open(self, request: str) -> LightQueue:
+    def open_inbox(self, request: str) -> LightQueue:
         """Open the inbox of a request."""
         return self._inbox_by_request.setdefault(request, LightQueue())
 
-    def close(self, request: str) -> None:
+    def close_inbox(self, request: str) -> None:
         """Close it."""
         self._inbox_by_request.pop(request, None)
 
@@ -112,10 +112,10 @@
         for sent in sent_releases:
             if not self.peers.is_alive(sent.owner):
                 self.release(sent.owner, sent.scope, sent.message)
-            elif now() - sent.sent_at < _KEEP_RELEASES_S:
+            elif now() - sent.sent_at < _RELEASE_MEMORY_S:
                 self._sent_releases.append(sent)
 
-    def _take_acknowledgement(
+    def _handle_acknowledgement(
         self, message: Accepted, address: tuple[str, int]
     ) -> None:
         """Note the load, which heartbeats of a large fleet tell seconds late."""
@@ -124,7 +124,7 @@
             self.peers.record_load(owner, message.service, message.load)
         self.deliver(message)
 
-    def _serve(self, message: Submit, address: tuple[str, int]) -> None:
+    def _handle_submit(self, message: Submit, address: tuple[str, int]) -> None:
         sender = self.peers.id_of(address[0])
         if sender is None:
             return
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -94,8 +94,8 @@
             fetch_times,
             crashes=crashes,
         )
-        view.subscribe(self._retire)
-        reach.subscribe(self._retire)
+        view.subscribe(self._on_targets_changed)
+        reach.subscribe(self._on_targets_changed)
 
     def submit(self, message: Submit, sender: str) -> Accepted | Results:
         """Take pieces into the queue.
@@ -114,12 +114,12 @@
             ]
             return Results(message.request, message.stage, message.round, done)
         self._verify_owner(message.service)
-        queue.note_submission()
-        life = self._peers.incarnation_of(sender)
-        queue.note_sender(message.request, Sender(sender, life))
-        self._note_begun(queue, message)
-        known = [self._take(queue, message, number) for number in message.numbers]
-        queue.wake()
+        queue.record_submission()
+        incarnation = self._peers.incarnation_of(sender)
+        queue.record_sender(message.request, Sender(sender, incarnation))
+        self._record_started(queue, message)
+        known = [self._add_piece(queue, message, number) for number in message.numbers]
+        queue.wake_workers()
         done = [result for result in known if result is not None]
         if done:
             return Results(message.request, message.stage, message.round, done)
@@ -142,7 +142,7 @@
         if owner not in (None, self._peers.own.id):
             self._peers.verify(owner)
 
-    def _note_begun(self, queue: ServiceQueue, message: Submit) -> None:
+    def _record_started(self, queue: ServiceQueue, message: Submit) -> None:
         stage = StageKey(message.request, message.stage, message.round)
         if queue.wait_errors.has(stage):
             return
@@ -161,7 +161,7 @@
     def _cancel(self, queue: ServiceQueue, request: str) -> None:
         del queue.sender_by_request[request]
         queue.queue.cancel(request)
-        queue.note_cancelled(request)
+        queue.record_cancelled(request)
 
     def drop_orphans(self) -> None:
         """Drop the requests of instances that have died, and give up their results.
@@ -178,7 +178,7 @@
             orphans = [r for r, s in queue.sender_by_request.items() if s in dead]
             for request in orphans:
                 self._cancel(queue, request)
-            handles = queue.take_results(set(orphans))
+            handles = queue.pop_handles(set(orphans))
             self._logger.info(
                 "orphans_dropped",
                 service=queue.service,
@@ -186,18 +186,18 @@
                 requests=len(orphans),
                 results=len(handles),
             )
-            self._releases.give_up(queue, handles)
+            self._releases.release(queue, handles)
 
     def _is_dead(self, sender: Sender) -> bool:
         return (
-            sender.life is not None
-            and self._peers.incarnation_of(sender.id) != sender.life
+            sender.incarnation is not None
+            and self._peers.incarnation_of(sender.id) != sender.incarnation
         )
 
     def release(self, message: Release) -> None:
         """Give up results at the targets that hold them."""
         queue = self._queue_by_service.get(message.service)
-        self._releases.give_up(queue, message.handles)
+        self._releases.release(queue, message.handles)
 
     def loads(self) -> dict[str, list[float]]:
         """Load of each owned queue: drain by place, then call time and rate."""
@@ -227,7 +227,7 @@
                 twice in its place.
         """
         for queue in self._queue_by_service.values():
-            self._hire(queue)
+            self._update_workers(queue)
             owner = self._owner(queue.service)
             if owner in (None, self._peers.own.id):
                 queue.disowned_checks = 0
@@ -258,22 +258,26 @@
         return queue
 
     def _has_targets(self, queue: ServiceQueue) -> bool:
-        self._hire(queue)
-        return bool(queue.fit_workers())
+        self._update_workers(queue)
+        return bool(queue.available_workers())
 
-    def _hire(self, queue: ServiceQueue) -> None:
+    def _update_workers(self, queue: ServiceQueue) -> None:
         own = self._own_targets(queue.service)
-        self._dismiss(queue, {target.incarnation for target in own})
+        self._remove_workers(queue, {target.incarnation for target in own})
         for target in own:
-            if target.incarnation in queue.worker_by_life:
+            if target.incarnation in queue.worker_by_incarnation:
                 continue
             worker = Worker(target, queue.queue.batching)
-            queue.worker_by_life[target.incarnation] = worker
+            queue.worker_by_incarnation[target.incarnation] = worker
             for _ in range(queue.queue.batching.slots):
-                eventlet.spawn_n(self._keep_working, self.dispatcher.run, queue, worker)
-            eventlet.spawn_n(self._keep_working, self._releases.run, queue, worker)
+                eventlet.spawn_n(
+                    self._run_supervised, self.dispatcher.run, queue, worker
+                )
+            eventlet.spawn_n(self._run_supervised, self._releases.run, queue, worker)
 
-    def _dismiss(self, queue: ServiceQueue, lives: set[tuple[str, int]]) -> None:
+    def _remove_workers(
+        self, queue: ServiceQueue, incarnations: set[tuple[str, int]]
+    ) -> None:
         """Stop calling targets that are not this queue's any more.
 
         A zone whose instances all stop for a moment has its targets called by owners
@@ -281,23 +285,27 @@
         call one target for good, each blind to the results that the other one's calls
         hold there: two pieces in five then found no room.
         """
-        for life in [life for life in queue.worker_by_life if life not in lives]:
+        for incarnation in [
+            incarnation
+            for incarnation in queue.worker_by_incarnation
+            if incarnation not in incarnations
+        ]:
             # Its threads end by themselves after the call that runs.
-            del queue.worker_by_life[life]
+            del queue.worker_by_incarnation[incarnation]
 
-    def _keep_working(
+    def _run_supervised(
         self,
-        work: Callable[[ServiceQueue, Worker], None],
+        loop: Callable[[ServiceQueue, Worker], None],
         queue: ServiceQueue,
         worker: Worker,
     ) -> None:
         # An error nobody thought of would end the only green thread that calls this
         # target, and its queue would stand still; the log line tells of it.
-        while queue.worker_by_life.get(worker.target.incarnation) is worker:
+        while queue.worker_by_incarnation.get(worker.target.incarnation) is worker:
             try:
-                work(queue, worker)
+                loop(queue, worker)
             except Exception:
-                self._logger.exception("restarting", work=work.__qualname__)
+                self._logger.exception("restarting", work=loop.__qualname__)
                 eventlet.sleep(_IDLE_CHECK_S)
 
     def _own_targets(self, service: str) -> list[Target]:
@@ -313,29 +321,29 @@
             )
         ]
 
-    def _retire(self) -> None:
+    def _on_targets_changed(self) -> None:
         for queue in self._queue_by_service.values():
-            self._hire(queue)
+            self._update_workers(queue)
             self.dispatcher.reject_if_no_target(queue)
-            queue.wake()
+            queue.wake_workers()
 
-    def _take(
+    def _add_piece(
         self, queue: ServiceQueue, message: Submit, number: int
     ) -> PieceOutcome | None:
         key = PieceKey(message.request, message.stage, number, message.round)
-        if key in queue.done_by_key:
-            return queue.done_by_key[key]
+        if key in queue.outcome_by_key:
+            return queue.outcome_by_key[key]
         if key in queue.running or key in queue.queue.piece_by_key:
             return None
-        moment = now()
-        zone, zone_bytes = self._home(message)
+        at = now()
+        zone, zone_bytes = self._local_zone(message)
         queue.queue.add(
             QueuedPiece(
                 key,
                 message.urgency,
                 message.has_started,
-                moment + message.objective,
-                moment + message.remaining,
+                at + message.objective,
+                at + message.remaining,
                 message.result_bytes,
                 message.key,
                 tuple(message.inputs),
@@ -347,7 +355,7 @@
         )
         return None
 
-    def _home(self, message: Submit) -> tuple[str, float]:
+    def _local_zone(self, message: Submit) -> tuple[str, float]:
         """The zone in which pieces would move least, and the bytes that are there."""
         bytes_by_zone = {message.zone: float(message.result_bytes)}
         for handle in message.inputs:
@@ -357,16 +365,16 @@
             zone = target.zone if target is not None else ""
             share = message.input_bytes / len(message.inputs)
             bytes_by_zone[zone] = bytes_by_zone.get(zone, 0.0) + share
-        home = max(bytes_by_zone, key=bytes_by_zone.__getitem__)
-        return home, bytes_by_zone[home]
+        local_zone = max(bytes_by_zone, key=bytes_by_zone.__getitem__)
+        return local_zone, bytes_by_zone[local_zone]
 
     def _load(self, queue: ServiceQueue) -> list[float]:
-        workers = queue.fit_workers()
+        workers = queue.available_workers()
         until_free = max(0.0, min(w.free_at for w in workers) - now())
-        pace = min(w.pace for w in workers)
-        drains = queue.queue.drains(len(workers), until_free, pace)
-        call = queue.queue.call_seconds(pace)
+        slowdown = min(w.slowdown for w in workers)
+        drains = queue.queue.drains(len(workers), until_free, slowdown)
+        call = queue.queue.call_seconds(slowdown)
         if self._policy.has(Mechanism.WAIT_ERRORS):
             drains = queue.wait_errors.correct(drains, call)
-        rate = queue.queue.rate(len(workers), pace)
+        rate = queue.queue.rate(len(workers), slowdown)
         return [round(figure, 3) for figure in (*drains, call, rate)]
--- a/packages/serving/bergamotsaddle_serving/stage_releases.py
+++ b/packages/serving/bergamotsaddle_serving/stage_releases.py
@@ -43,7 +43,7 @@
         self._dialect = dialect
         self._logger = logger
 
-    def give_up(self, queue: ServiceQueue | None, handles: list[str]) -> None:
+    def release(self, queue: ServiceQueue | None, handles: list[str]) -> None:
         """Give up results.
 
         Args:
@@ -55,44 +55,44 @@
             maker = self._dialect.result_address(handle)
             handles_by_maker.setdefault(maker, []).append(handle)
         for maker, group in handles_by_maker.items():
-            self._give_up_at(maker, group, queue)
+            self._queue_release(maker, group, queue)
 
     def run(self, queue: ServiceQueue, worker: Worker) -> None:
         """Give up what is asked for at one target, while it is called."""
-        while queue.worker_by_life.get(worker.target.incarnation) is worker:
+        while queue.worker_by_incarnation.get(worker.target.incarnation) is worker:
             if not worker.to_release:
                 with eventlet.Timeout(_IDLE_CHECK_S, False):
-                    worker.has_release.wait()
-                worker.has_release = Event()
+                    worker.release_requested.wait()
+                worker.release_requested = Event()
                 continue
             handles, worker.to_release = worker.to_release, []
-            if self._release(worker.target, handles):
+            if self._call_release(worker.target, handles):
                 for handle in handles:
-                    worker.room.release(handle)
-                queue.wake()
+                    worker.memory.release(handle)
+                queue.wake_workers()
 
-    def _give_up_at(
+    def _queue_release(
         self, maker: Address, handles: list[str], queue: ServiceQueue | None
     ) -> None:
-        workers = queue.worker_by_life.values() if queue else ()
+        workers = queue.worker_by_incarnation.values() if queue else ()
         for worker in workers:
             if worker.target.address == maker:
                 worker.to_release += handles
-                if not worker.has_release.ready():
-                    worker.has_release.send()
+                if not worker.release_requested.ready():
+                    worker.release_requested.send()
                 return
         # Made by a target that this owner does not call any more.
-        eventlet.spawn_n(self._release_elsewhere, maker, handles)
+        eventlet.spawn_n(self._release_directly, maker, handles)
 
-    def _release_elsewhere(self, maker: Address, handles: list[str]) -> None:
+    def _release_directly(self, maker: Address, handles: list[str]) -> None:
         target = self._view.target_by_address.get(maker)
         if target is None or self._reach.is_lost(target.zone):
             # They have gone with their maker, or nobody can be told to give them up.
             self._logger.info("release_needless", address=str(maker))
             return
-        self._release(target, handles)
+        self._call_release(target, handles)
 
-    def _release(self, target: Target, handles: list[str]) -> bool:
+    def _call_release(self, target: Target, handles: list[str]) -> bool:
         try:
             self._calls.release(target, handles)
         except ConnectionLostError as error:
--- a/packages/serving/bergamotsaddle_serving/stage_results.py
+++ b/packages/serving/bergamotsaddle_serving/stage_results.py
@@ -29,17 +29,17 @@
         self._peers = peers
         self.deliver_locally: Callable[[Results | Started], None] = _no_receiver
 
-    def finish(self, queue: ServiceQueue, ended: Iterable[FinishedPiece]) -> None:
+    def finish(self, queue: ServiceQueue, finished: Iterable[FinishedPiece]) -> None:
         """Tell how pieces ended, and keep their results in case a datagram is lost."""
         done_by_stage: dict[tuple[str, int, int], list[PieceOutcome]] = {}
-        for key, result in ended:
+        for key, result in finished:
             done = PieceOutcome(key.number, result.handle, result.reason)
             if result.handle:
-                queue.note_done(key, done)
+                queue.record_outcome(key, done)
             stage = (key.request, key.stage, key.round)
             done_by_stage.setdefault(stage, []).append(done)
-        for (request, stage, turn), group in done_by_stage.items():
-            self._tell(queue, Results(request, stage, turn, group))
+        for (request, stage, round_number), group in done_by_stage.items():
+            self._send(queue, Results(request, stage, round_number, group))
 
     def finish_waiting(self, queue: ServiceQueue, reason: PieceFailure) -> None:
         """Send all pieces that wait back to their requests."""
@@ -55,10 +55,10 @@
                 key = piece.key
                 stage = (key.request, key.stage, key.round)
                 numbers.setdefault(stage, []).append(key.number)
-        for (request, stage, turn), group in numbers.items():
-            self._tell(queue, Started(request, stage, turn, group))
+        for (request, stage, round_number), group in numbers.items():
+            self._send(queue, Started(request, stage, round_number, group))
 
-    def _tell(self, queue: ServiceQueue, message: Results | Started) -> None:
+    def _send(self, queue: ServiceQueue, message: Results | Started) -> None:
         sender = queue.sender_by_request.get(message.request)
         if sender is None:
             return
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -34,7 +34,7 @@
 _REFRESH_S = 0.4
 # Calls for one stage of a request that end without a result.
 _MAX_FAILURES = 4
-_FAILURE_PAUSE_S = 0.03
+_RETRY_PAUSE_S = 0.03
 # All targets of a queue rest after failures; another one, or the same one later, may
 # still do the stage within the request's time.
 _NO_TARGET_PAUSE_S = 0.05
@@ -54,7 +54,7 @@
     stages: list[tuple[int, str, float, float]]
 
 
-class _Place(NamedTuple):
+class _ResultLocation(NamedTuple):
     """Where a result was made."""
 
     owner: str
@@ -62,17 +62,17 @@
     scope: str
 
 
-class _Open:
+class _Submission:
     """A stage of the request that is being done."""
 
     def __init__(
-        self, number: int, owner: str, scope: str, missing: set[int], turn: int
+        self, stage: int, owner: str, scope: str, missing: set[int], round_number: int
     ) -> None:
-        self.number = number
+        self.stage = stage
         self.owner = owner
         self.scope = scope
         self.missing = missing
-        self.round = turn
+        self.round = round_number
         self.unacknowledged = 0
         self.next_at = 0.0
 
@@ -120,21 +120,21 @@
         self._logger = logger
         self._urgency = urgency
         self._deadline_at = deadline_at
-        self._spread = choose_queues
-        self._inbox = exchange.open(head.id)
-        self._open: list[_Open] = []
+        self._choose_queues = choose_queues
+        self._inbox = exchange.open_inbox(head.id)
+        self._submissions: list[_Submission] = []
         self._results_by_stage: dict[int, dict[int, str]] = {}
-        self._place_by_handle: dict[str, _Place] = {}
+        self._location_by_handle: dict[str, _ResultLocation] = {}
         self._owners: set[str] = set()
         self._failures = 0
         self._round = first_round
-        self._coming = pending
-        self._keep_seconds = ttl_seconds
-        self._announced: dict[int, int] = {}
-        self._started_by_stage: dict[int, set[int]] = {}
-        self._begun_by_stage: dict[int, float] = {}
-        self._ended_by_stage: dict[int, float] = {}
-        self._expires_by_stage: dict[int, float] = {}
+        self._pending = pending
+        self._ttl_seconds = ttl_seconds
+        self._pending_by_stage: dict[int, int] = {}
+        self._fetched_by_stage: dict[int, set[int]] = {}
+        self._started_at_by_stage: dict[int, float] = {}
+        self._finished_at_by_stage: dict[int, float] = {}
+        self._expires_at_by_stage: dict[int, float] = {}
 
     def run(self) -> StageOutcome:
         """Have all stages done.
@@ -142,26 +142,30 @@
         Raises:
             RequestError: If they can't be done in time; the request has not run.
         """
-        began_at = now()
-        self._announce()
+        started_at = now()
+        self._add_pending()
         while not self._is_done():
             self._submit_ready()
             self._receive()
-        self._release_inner()
+        self._release_fetched()
         handles = [
             self._results_by_stage[stage][number]
             for stage in self._plan.sinks
             for number in sorted(self._results_by_stage.get(stage, ()))
         ]
-        return StageOutcome(tuple(handles), now() - began_at, self._times())
+        return StageOutcome(tuple(handles), now() - started_at, self._stage_times())
 
-    def _times(self) -> list[tuple[int, str, float, float]]:
+    def _stage_times(self) -> list[tuple[int, str, float, float]]:
         return [
             (
                 stage,
                 self._plan.scope_by_stage[stage],
                 round(self._plan.seconds[stage], 3),
-                round(self._ended_by_stage[stage] - self._begun_by_stage[stage], 3),
+                round(
+                    self._finished_at_by_stage[stage]
+                    - self._started_at_by_stage[stage],
+                    3,
+                ),
             )
             for stage in self._plan.needed
         ]
@@ -173,14 +177,14 @@
 
     def release(self) -> None:
         """Give up all results that are left, and whatever still waits."""
-        self._exchange.close(self._head.id)
-        for stage in list(self._announced):
-            self._arrive(stage)
-        if self._open:
+        self._exchange.close_inbox(self._head.id)
+        for stage in list(self._pending_by_stage):
+            self._remove_pending(stage)
+        if self._submissions:
             for owner in self._owners:
                 self._exchange.send(owner, Cancel(self._head.id))
-            self._open.clear()
-        self._release_handles(list(self._place_by_handle))
+            self._submissions.clear()
+        self._release_handles(list(self._location_by_handle))
 
     def _is_done(self) -> bool:
         return all(
@@ -193,8 +197,8 @@
         return done >= self._plan.pieces[stage]
 
     def _submit_ready(self) -> None:
-        moment = now()
-        elapsed = self._plan.elapsed(moment)
+        at = now()
+        elapsed = self._plan.elapsed(at)
         for stage in self._plan.needed:
             if self._stage_is_done(stage) or not self._unassigned(stage):
                 continue
@@ -205,87 +209,95 @@
             if self._plan.should_wait(stage, done, elapsed):
                 continue
             self._assign(stage)
-        for opened in list(self._open):
-            if opened.next_at <= moment:
-                self._send(opened)
+        for submission in list(self._submissions):
+            if submission.next_at <= at:
+                self._send(submission)
 
     def _unassigned(self, stage: int) -> list[int]:
-        held = self._results_by_stage.get(stage, {})
-        taken = {n for o in self._open if o.number == stage for n in o.missing}
+        results = self._results_by_stage.get(stage, {})
+        submitted = {
+            n for o in self._submissions if o.stage == stage for n in o.missing
+        }
         numbers = range(self._plan.pieces[stage])
-        return [n for n in numbers if n not in held and n not in taken]
+        return [n for n in numbers if n not in results and n not in submitted]
 
-    def _announce(self) -> None:
+    def _add_pending(self) -> None:
         for stage in self._plan.needed:
-            self._announced[stage] = self._plan.pieces[stage]
-            self._count_coming(stage, self._plan.pieces[stage])
+            self._pending_by_stage[stage] = self._plan.pieces[stage]
+            self._change_pending(stage, self._plan.pieces[stage])
 
-    def _arrive(self, stage: int) -> None:
-        self._count_coming(stage, -self._announced.pop(stage, 0))
+    def _remove_pending(self, stage: int) -> None:
+        self._change_pending(stage, -self._pending_by_stage.pop(stage, 0))
 
-    def _count_coming(self, stage: int, pieces: int) -> None:
+    def _change_pending(self, stage: int, pieces: int) -> None:
         if pieces:
             service = self._route.stages[stage].service
             scope = self._plan.scope_by_stage[stage]
-            self._coming.add(service, scope, self._urgency, pieces)
+            self._pending.add(service, scope, self._urgency, pieces)
 
     def _assign(self, stage: int) -> None:
-        self._arrive(stage)
-        self._begun_by_stage.setdefault(stage, now())
+        self._remove_pending(stage)
+        self._started_at_by_stage.setdefault(stage, now())
         service = self._route.stages[stage].service
         numbers = self._unassigned(stage)
-        for scope, count in self._spread(service, stage, len(numbers)):
+        for scope, count in self._choose_queues(service, stage, len(numbers)):
             owners = rank_owners(self._exchange.peers, service, scope)
             if not owners:
-                raise self._refuse(ErrorKind.NO_TARGET, "no instance owns the queue")
-            part, numbers = set(numbers[:count]), numbers[count:]
-            self._open.append(_Open(stage, owners[0], scope, part, self._round))
+                raise self._rejection_error(
+                    ErrorKind.NO_TARGET, "no instance owns the queue"
+                )
+            assigned, numbers = set(numbers[:count]), numbers[count:]
+            self._submissions.append(
+                _Submission(stage, owners[0], scope, assigned, self._round)
+            )
 
-    def _send(self, opened: _Open) -> None:
-        moment = now()
-        remaining = self._deadline_at - moment - self._plan.after_seconds(opened.number)
+    def _send(self, submission: _Submission) -> None:
+        at = now()
+        remaining = self._deadline_at - at - self._plan.after_seconds(submission.stage)
         # Sent on, pieces whose inputs have expired take a call only to learn that.
-        remaining = min(remaining, self._inputs_until(opened.number) - moment)
+        remaining = min(remaining, self._inputs_expire_at(submission.stage) - at)
         if remaining <= 0:
-            raise self._refuse(ErrorKind.DEADLINE_INFEASIBLE, "the stages are too late")
-        if opened.unacknowledged > _MAX_UNACKNOWLEDGED:
-            self._leave(opened)
+            raise self._rejection_error(
+                ErrorKind.DEADLINE_INFEASIBLE, "the stages are too late"
+            )
+        if submission.unacknowledged > _MAX_UNACKNOWLEDGED:
+            self._abandon_owner(submission)
             return
-        stage = self._route.stages[opened.number]
+        stage = self._route.stages[submission.stage]
         inputs = [
             self._results_by_stage[number][piece]
-            for number in self._plan.predecessors(opened.number)
+            for number in self._plan.predecessors(submission.stage)
             for piece in sorted(self._results_by_stage[number])
         ]
         message = Submit(
             request=self._head.id,
-            stage=opened.number,
+            stage=submission.stage,
             service=stage.service,
-            numbers=sorted(opened.missing),
+            numbers=sorted(submission.missing),
             key="" if inputs else self._head.piece_key,
             inputs=inputs,
             urgency=self._urgency,
             has_started=bool(self._results_by_stage),
             result_bytes=stage.result_bytes,
-            input_bytes=self._input_bytes(opened.number),
+            input_bytes=self._input_bytes(submission.stage),
             zone=self._plan.zone,
-            objective=self._plan.objective_at(opened.number) - moment,
+            objective=self._plan.objective_at(submission.stage) - at,
             remaining=remaining,
-            round=opened.round,
+            round=submission.round,
             fingerprint=self._fingerprint,
         )
-        opened.unacknowledged += 1
-        opened.next_at = moment + _ACK_LIMIT_S
-        self._owners.add(opened.owner)
-        self._exchange.send(opened.owner, message)
+        submission.unacknowledged += 1
+        submission.next_at = at + _ACK_LIMIT_S
+        self._owners.add(submission.owner)
+        self._exchange.send(submission.owner, message)
 
-    def _inputs_until(self, stage: int) -> float:
+    def _inputs_expire_at(self, stage: int) -> float:
         """When the first of a stage's inputs expires at its maker."""
-        ends = [
-            self._expires_by_stage.get(number, float("inf"))
+        expiry_times = [
+            self._expires_at_by_stage.get(number, float("inf"))
             for number in self._plan.predecessors(stage)
         ]
-        return min(ends, default=float("inf"))
+        return min(expiry_times, default=float("inf"))
 
     def _input_bytes(self, stage: int) -> int:
         return sum(
@@ -293,20 +305,20 @@
             for n in self._plan.predecessors(stage)
         )
 
-    def _leave(self, opened: _Open) -> None:
+    def _abandon_owner(self, submission: _Submission) -> None:
         # The owner has died, is cut off or stands still; its successor makes the
         # pieces again if they were made at all.
         self._logger.warning(
             "owner_silent",
             request=self._head.id,
-            owner=opened.owner,
-            stage=opened.number,
+            owner=submission.owner,
+            stage=submission.stage,
         )
-        self._exchange.peers.suspect(opened.owner)
-        self._open.remove(opened)
-        if self._gave_up_inputs(opened.number):
-            self._begin_round()
-            self._forget_inputs(opened.number)
+        self._exchange.peers.suspect(submission.owner)
+        self._submissions.remove(submission)
+        if self._has_released_inputs(submission.stage):
+            self._start_round()
+            self._discard_inputs(submission.stage)
 
     def _receive(self) -> None:
         wait = self._next_event() - now()
@@ -315,124 +327,138 @@
         except Empty:
             return
         if isinstance(message, Accepted):
-            self._take_acknowledgement(message)
+            self._handle_acknowledgement(message)
         elif isinstance(message, Started):
-            self._take_start(message)
+            self._handle_started(message)
         else:
-            self._take_results(message)
+            self._handle_results(message)
 
-    def _take_acknowledgement(self, message: Accepted) -> None:
-        for opened in self._open:
-            is_it = (opened.number, opened.round) == (message.stage, message.round)
-            if is_it and message.number in opened.missing:
-                self._note_heard(opened)
+    def _handle_acknowledgement(self, message: Accepted) -> None:
+        for submission in self._submissions:
+            matches = (submission.stage, submission.round) == (
+                message.stage,
+                message.round,
+            )
+            if matches and message.number in submission.missing:
+                self._record_response(submission)
 
-    def _take_start(self, message: Started) -> None:
+    def _handle_started(self, message: Started) -> None:
         if message.round == self._round:
-            self._started_by_stage.setdefault(message.stage, set()).update(
+            self._fetched_by_stage.setdefault(message.stage, set()).update(
                 message.numbers
             )
-            self._release_inner()
+            self._release_fetched()
 
-    def _note_heard(self, opened: _Open) -> None:
-        opened.unacknowledged = 0
-        opened.next_at = now() + _REFRESH_S
+    def _record_response(self, submission: _Submission) -> None:
+        submission.unacknowledged = 0
+        submission.next_at = now() + _REFRESH_S
 
     def _next_event(self) -> float:
-        times = [opened.next_at for opened in self._open]
-        if len(self._open) < len(self._plan.needed):
+        times = [submission.next_at for submission in self._submissions]
+        if len(self._submissions) < len(self._plan.needed):
             times.append(now() + _ACK_LIMIT_S)
         return min([*times, self._deadline_at])
 
-    def _take_results(self, message: Results) -> None:
-        failed: list[tuple[_Open, PieceFailure | None]] = []
+    def _handle_results(self, message: Results) -> None:
+        failed: list[tuple[_Submission, PieceFailure | None]] = []
         for done in message.done:
-            opened = self._find(message, done.number)
-            if opened is None:
-                self._give_up_extra(message.stage, done)
+            submission = self._find(message, done.number)
+            if submission is None:
+                self._release_duplicate(message.stage, done)
                 continue
-            self._note_heard(opened)
-            self._close(opened, done)
+            self._record_response(submission)
+            self._store_outcome(submission, done)
             if not done.handle:
-                failed.append((opened, done.reason))
+                failed.append((submission, done.reason))
         if failed:
-            self._fail(*failed[0])
+            self._handle_failure(*failed[0])
         if self._stage_is_done(message.stage):
             self._plan.record_stage_done(now())
-            self._ended_by_stage[message.stage] = now()
-            self._release_inner()
+            self._finished_at_by_stage[message.stage] = now()
+            self._release_fetched()
 
-    def _close(self, opened: _Open, done: PieceOutcome) -> None:
-        opened.missing.discard(done.number)
-        if not opened.missing:
-            self._open.remove(opened)
+    def _store_outcome(self, submission: _Submission, done: PieceOutcome) -> None:
+        submission.missing.discard(done.number)
+        if not submission.missing:
+            self._submissions.remove(submission)
         if done.handle:
-            service = self._route.stages[opened.number].service
-            held = self._results_by_stage.setdefault(opened.number, {})
-            held[done.number] = done.handle
-            expires_at = now() + self._keep_seconds(service)
-            self._expires_by_stage.setdefault(opened.number, expires_at)
-            self._place_by_handle[done.handle] = _Place(
-                opened.owner, service, opened.scope
+            service = self._route.stages[submission.stage].service
+            results = self._results_by_stage.setdefault(submission.stage, {})
+            results[done.number] = done.handle
+            expires_at = now() + self._ttl_seconds(service)
+            self._expires_at_by_stage.setdefault(submission.stage, expires_at)
+            self._location_by_handle[done.handle] = _ResultLocation(
+                submission.owner, service, submission.scope
             )
 
-    def _find(self, message: Results, number: int) -> _Open | None:
-        for opened in self._open:
-            is_it = (opened.number, opened.round) == (message.stage, message.round)
-            if is_it and number in opened.missing:
-                return opened
+    def _find(self, message: Results, number: int) -> _Submission | None:
+        for submission in self._submissions:
+            matches = (submission.stage, submission.round) == (
+                message.stage,
+                message.round,
+            )
+            if matches and number in submission.missing:
+                return submission
         return None
 
-    def _give_up_extra(self, stage: int, done: PieceOutcome) -> None:
-        held = self._results_by_stage.get(stage, {})
-        if not done.handle or done.handle in held.values():
+    def _release_duplicate(self, stage: int, done: PieceOutcome) -> None:
+        results = self._results_by_stage.get(stage, {})
+        if not done.handle or done.handle in results.values():
             return
         # Made a second time, after its first owner had fallen silent.
         release = Release(self._route.stages[stage].service, [done.handle])
         for owner in self._owners:
             self._exchange.send(owner, release)
 
-    def _fail(self, opened: _Open, reason: PieceFailure | None) -> None:
+    def _handle_failure(
+        self, submission: _Submission, reason: PieceFailure | None
+    ) -> None:
         if reason is PieceFailure.LATE:
-            raise self._refuse(ErrorKind.DEADLINE_INFEASIBLE, "a stage was too late")
+            raise self._rejection_error(
+                ErrorKind.DEADLINE_INFEASIBLE, "a stage was too late"
+            )
         if reason is PieceFailure.MOVED:
             return
         if reason is PieceFailure.NO_TARGET:
-            service = self._route.stages[opened.number].service
-            self._plan.avoid(service, opened.scope, now())
+            service = self._route.stages[submission.stage].service
+            self._plan.avoid(service, submission.scope, now())
             eventlet.sleep(_NO_TARGET_PAUSE_S)
             return
         self._failures += 1
         if self._failures > _MAX_FAILURES:
-            raise self._refuse(ErrorKind.NO_TARGET, f"a stage failed: {reason}")
+            raise self._rejection_error(
+                ErrorKind.NO_TARGET, f"a stage failed: {reason}"
+            )
         self._logger.info(
             "stage_again",
             request=self._head.id,
-            stage=opened.number,
-            owner=opened.owner,
+            stage=submission.stage,
+            owner=submission.owner,
             reason=reason,
         )
-        self._begin_round()
+        self._start_round()
         if reason is PieceFailure.GONE:
             # So are the inputs of its other pieces that still wait.
-            self._open = [o for o in self._open if o.number != opened.number]
-            self._forget_inputs(opened.number)
-        elif self._gave_up_inputs(opened.number):
-            self._forget_inputs(opened.number)
-        eventlet.sleep(_FAILURE_PAUSE_S * self._failures)
-
-    def _begin_round(self) -> None:
+            self._submissions = [
+                o for o in self._submissions if o.stage != submission.stage
+            ]
+            self._discard_inputs(submission.stage)
+        elif self._has_released_inputs(submission.stage):
+            self._discard_inputs(submission.stage)
+        eventlet.sleep(_RETRY_PAUSE_S * self._failures)
+
+    def _start_round(self) -> None:
         self._round += 1
-        self._started_by_stage.clear()
+        self._fetched_by_stage.clear()
 
-    def _gave_up_inputs(self, stage: int) -> bool:
+    def _has_released_inputs(self, stage: int) -> bool:
         return any(
-            handle not in self._place_by_handle
+            handle not in self._location_by_handle
             for number in self._plan.predecessors(stage)
             for handle in self._results_by_stage.get(number, {}).values()
         )
 
-    def _forget_inputs(self, stage: int) -> None:
+    def _discard_inputs(self, stage: int) -> None:
         """Have the stages before a stage done anew, as far back as it takes.
 
         A result went with its maker, or was given up once it had been fetched. A stage
@@ -440,14 +466,14 @@
         handles, its pieces would take a call at each stage only to learn that.
         """
         for number in self._plan.predecessors(stage):
-            self._open = [o for o in self._open if o.number != number]
-            if self._gave_up_inputs(number):
-                self._forget_inputs(number)
+            self._submissions = [o for o in self._submissions if o.stage != number]
+            if self._has_released_inputs(number):
+                self._discard_inputs(number)
             handles = self._results_by_stage.pop(number, {}).values()
-            self._expires_by_stage.pop(number, None)
+            self._expires_at_by_stage.pop(number, None)
             self._release_handles(list(handles))
 
-    def _release_inner(self) -> None:
+    def _release_fetched(self) -> None:
         """Give up results that all their followers have fetched."""
         for stage in self._plan.needed:
             followers = self._plan.followers(stage)
@@ -456,22 +482,22 @@
                 self._release_handles(list(handles))
 
     def _has_fetched(self, stage: int) -> bool:
-        held = set(self._results_by_stage.get(stage, ()))
-        started = self._started_by_stage.get(stage, set())
-        return len(held | started) >= self._plan.pieces[stage]
+        results = set(self._results_by_stage.get(stage, ()))
+        started = self._fetched_by_stage.get(stage, set())
+        return len(results | started) >= self._plan.pieces[stage]
 
     def _release_handles(self, handles: list[str]) -> None:
-        by_place: dict[_Place, list[str]] = {}
+        by_location: dict[_ResultLocation, list[str]] = {}
         for handle in handles:
-            place = self._place_by_handle.pop(handle, None)
-            if place is not None:
-                by_place.setdefault(place, []).append(handle)
-        for place, group in by_place.items():
-            message = Release(place.service, group)
-            self._exchange.release(place.owner, place.scope, message)
-
-    def _refuse(self, kind: ErrorKind, detail: str) -> RequestError:
-        left = max(0.0, self._deadline_at - now())
+            location = self._location_by_handle.pop(handle, None)
+            if location is not None:
+                by_location.setdefault(location, []).append(handle)
+        for location, group in by_location.items():
+            message = Release(location.service, group)
+            self._exchange.release(location.owner, location.scope, message)
+
+    def _rejection_error(self, kind: ErrorKind, detail: str) -> RequestError:
+        remaining = max(0.0, self._deadline_at - now())
         return RequestError(
-            kind, detail, ran=Ran.NO, retry_after=left * random.uniform(0.1, 0.3)
+            kind, detail, ran=Ran.NO, retry_after=remaining * random.uniform(0.1, 0.3)
         )
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -46,21 +46,21 @@
 from bergamotsaddle_serving.target_crashes import TargetCrashes
 from bergamotsaddle_serving.urgency_distribution import UrgencyDistribution
 
-_MAX_ANSWER_BYTES = 1_000_000
+_MAX_RESPONSE_BYTES = 1_000_000
 # How long an engine is taken to know shared parts that it read for this instance.
-_KNOWN_S = 20.0
-_MAX_KNOWN = 20_000
+_CACHED_PREFIX_TTL_S = 20.0
+_MAX_CACHED_PREFIXES = 20_000
 # An engine that sends nothing for this long in the middle of a stream, or several
 # times the longest pause that is on time, has lost it; callers give up at 2 s.
-_SILENT_S = 1.0
-_SILENT_GAPS = 3.0
+_MIN_EVENT_TIMEOUT_S = 1.0
+_EVENT_TIMEOUT_GAPS = 3.0
 # The same before the first event: reading a long prompt takes an engine up to a second
 # in which it sends nothing, and a dead one is noticed earlier by the kernel.
-_FIRST_SILENT_S = 2.0
-_FIRST_FACTOR = 6.0
+_MIN_FIRST_EVENT_TIMEOUT_S = 2.0
+_FIRST_EVENT_TIMEOUT_FACTOR = 6.0
 _MAX_REFUSALS = 3
 # A permit is good for so long; those of a longer time would arrive together.
-_PERMIT_S = 1.5
+_PERMIT_LIFETIME_S = 1.5
 _CONFLICT = 409
 
 
@@ -106,7 +106,7 @@
         self.dialect = dialect
         self.logger = logger
         self.urgencies = UrgencyDistribution()
-        self._known_until: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._cached_until: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def serve(self, context: Context, caller: CallerConnection) -> None:
         """Serve a request to its end.
@@ -123,10 +123,10 @@
 
     def choose(self, context: Context, exclude: set[str]) -> EngineChoice | None:
         """Choose an engine for a request; None if there is none."""
-        found = self.selector.candidates(context.service.name, exclude)
+        candidates = self.selector.candidates(context.service.name, exclude)
         head = context.head
         key = prefix_key(head.prompt)
-        views = [self._view(candidate, key) for candidate in found]
+        views = [self._engine_view(candidate, key) for candidate in candidates]
         if self.suspects.is_suspect(context.fingerprint):
             views = isolate_engine(views, context.fingerprint)
         seconds_by_zone = {
@@ -165,12 +165,12 @@
     def record_cached_prefix(self, target_id: str, context: Context) -> None:
         """Note that an engine has read the shared parts of a prompt."""
         key = (target_id, prefix_key(context.head.prompt))
-        self._known_until[key] = now() + _KNOWN_S
-        self._known_until.move_to_end(key)
-        while len(self._known_until) > _MAX_KNOWN:
-            self._known_until.popitem(last=False)
+        self._cached_until[key] = now() + _CACHED_PREFIX_TTL_S
+        self._cached_until.move_to_end(key)
+        while len(self._cached_until) > _MAX_CACHED_PREFIXES:
+            self._cached_until.popitem(last=False)
 
-    def _view(self, candidate: Candidate, key: str) -> EngineView:
+    def _engine_view(self, candidate: Candidate, key: str) -> EngineView:
         target = candidate.target
         state = candidate.state
         return EngineView(
@@ -179,7 +179,7 @@
             max(1, target.slots),
             state.in_flight + candidate.others,
             candidate.tokens_ahead,
-            self._known_until.get((target.id, key), 0.0) > now(),
+            self._cached_until.get((target.id, key), 0.0) > now(),
         )
 
 
@@ -195,13 +195,13 @@
         self._stages: StageRun | None = None
         self._last_stages: StageRun | None = None
         self._inputs: tuple[str, ...] | None = None
-        self._fetching: GreenThread | None = None
+        self._release_timer: GreenThread | None = None
         self._last_id = context.head.last_event_id
         self._exclude: set[str] = set()
         self._has_started = False
         self._permit = ("", 0.0)
         self._was_sent = False
-        self._has_run = 0
+        self._runs = 0
         self._refusals = 0
 
     def run(self) -> None:
@@ -212,7 +212,7 @@
             choice = self._choose()
             self._admit(choice)
         while True:
-            self._check_harmless()
+            self._check_quarantine()
             if self._inputs is None:
                 self._run_stages(choice)
             if self._try(choice):
@@ -221,9 +221,9 @@
 
     def release(self) -> None:
         """Give up whatever the request still holds."""
-        if self._fetching is not None:
-            self._fetching.cancel()
-            self._fetching = None
+        if self._release_timer is not None:
+            self._release_timer.cancel()
+            self._release_timer = None
         if self._stages is not None:
             self._stages.release()
             self._stages = None
@@ -231,7 +231,7 @@
     def _choose(self) -> EngineChoice:
         choice = self._server.choose(self._context, self._exclude)
         if choice is None:
-            raise self._end("no engine can take the request")
+            raise self._failure_error("no engine can take the request")
         return choice
 
     def _reserve(self, choice: EngineChoice) -> bool:
@@ -246,7 +246,7 @@
             return True
         selector = self._server.selector
         if selector.reserve(candidate, context.head.id, context.urgency):
-            self._permit = (choice.engine.id, now() + _PERMIT_S)
+            self._permit = (choice.engine.id, now() + _PERMIT_LIFETIME_S)
             return True
         self._exclude.add(choice.engine.id)
         return False
@@ -329,20 +329,20 @@
             fingerprint=context.fingerprint,
         )
         try:
-            end = self._stages.run()
+            outcome = self._stages.run()
         except RequestError as error:
-            if self._has_run:
+            if self._runs:
                 # The stages of a second try can't vouch for what the first one did.
-                raise self._end(error.detail) from error
+                raise self._failure_error(error.detail) from error
             raise
-        self._inputs = end.handles
+        self._inputs = outcome.handles
         self._server.logger.info(
             "stages_done",
             request=context.head.id,
             zone=choice.engine.zone,
-            seconds=round(end.seconds, 3),
+            seconds=round(outcome.seconds, 3),
             expected=round(plan.total_seconds(), 3),
-            stages=end.stages,
+            stages=outcome.stages,
         )
 
     def _try(self, choice: EngineChoice) -> bool:
@@ -355,43 +355,43 @@
         if not self._use_permit(choice):
             return False
         if self._was_sent and not self._server.budget.try_acquire(context.service.name):
-            raise self._end("no repeats are left")
-        self._check_harmless()
+            raise self._failure_error("no repeats are left")
+        self._check_quarantine()
         self._server.selector.record_sent(candidate, context.service)
         self._was_sent = True
         try:
             self._send(candidate, choice)
         except NotRunError as error:
-            self._note(candidate, error.reason, "no", error.status)
+            self._log_failed_attempt(candidate, error.reason, "no", error.status)
             self._handle_refusal(candidate, error)
             return False
         except OutcomeUnknownError as error:
-            self._note(candidate, error.reason, "unknown")
+            self._log_failed_attempt(candidate, error.reason, "unknown")
             target = candidate.target
             self._server.crashes.record_failure(
                 target, [context.fingerprint], error.reason
             )
             self._exclude.add(target.id)
-            self._has_run += 1
+            self._runs += 1
             self._check_resumable()
             return False
         self._server.suspects.record_success(candidate.target, context.fingerprint)
         return True
 
-    def _check_harmless(self) -> None:
+    def _check_quarantine(self) -> None:
         """End a request that has become known to end its targets."""
         if not self._server.suspects.is_quarantined(self._context.fingerprint):
             return
-        if self._has_run:
-            raise self._end("targets ended while they ran it")
+        if self._runs:
+            raise self._failure_error("targets ended while they ran it")
         raise self._context.quarantine_error()
 
     def _send(self, candidate: Candidate, choice: EngineChoice) -> None:
         context = self._context
         state = candidate.state
-        tokens = self._tokens_to_read(choice)
+        tokens = self._prefill_tokens(choice)
         state.prompt_tokens_ahead += tokens
-        is_reading = True
+        is_prefilling = True
         server = self._server
         try:
             with Attempt(context, state, server.pool, server.dialect) as attempt:
@@ -403,20 +403,20 @@
                     self._inputs or (),
                     self._last_id,
                 )
-                limit = self._first_limit(choice)
-                reply = attempt.send(
+                limit = self._first_event_timeout(choice)
+                response = attempt.send(
                     dispatch,
                     limit=limit,
                     most=context.remaining,
                     on_sent=self._release_when_fetched,
                 )
-                if not reply.is_success:
-                    self._pass_failure(attempt, reply)
+                if not response.is_success:
+                    self._forward_failure(attempt, response)
                     return
                 splitter = EventSplitter()
                 data = attempt.read_some(limit=limit)
                 state.prompt_tokens_ahead -= tokens
-                is_reading = False
+                is_prefilling = False
                 seconds = now() - attempt.started_at
                 state.record_success(seconds)
                 server.logger.info(
@@ -430,12 +430,12 @@
                 )
                 server.record_cached_prefix(candidate.target.id, context)
                 self._release_inputs()
-                self._relay(attempt, reply, splitter, data)
+                self._relay(attempt, response, splitter, data)
         finally:
-            if is_reading:
+            if is_prefilling:
                 state.prompt_tokens_ahead -= tokens
 
-    def _tokens_to_read(self, choice: EngineChoice) -> int:
+    def _prefill_tokens(self, choice: EngineChoice) -> int:
         head = self._context.head
         if choice.reason == "free":
             return head.prompt_tokens
@@ -444,28 +444,28 @@
     def _relay(
         self,
         attempt: Attempt,
-        reply: Response,
+        response: Response,
         splitter: EventSplitter,
         data: bytes | None,
     ) -> None:
         while data is not None:
             for event in splitter.feed(data):
-                self._start(reply)
+                self._start_response(response)
                 self._caller.send(event.data)
                 if event.id is not None:
                     self._last_id = event.id
-            data = attempt.read_some(limit=self._silence_limit())
-        self._start(reply)
+            data = attempt.read_some(limit=self._event_timeout())
+        self._start_response(response)
         if splitter.remainder:
             self._caller.send(splitter.remainder)
         self._caller.finish()
 
-    def _start(self, reply: Response) -> None:
+    def _start_response(self, response: Response) -> None:
         if self._has_started:
             return
         self._has_started = True
         self._caller.start(
-            reply.head.status, list(end_to_end_headers(reply.head.headers))
+            response.head.status, list(end_to_end_headers(response.head.headers))
         )
 
     def _release_when_fetched(self, sent_bytes: int) -> None:
@@ -478,9 +478,9 @@
         if not self._inputs:
             return
         sizes = self._context.route.stages
-        most = max(stage.result_bytes for stage in sizes) * len(self._inputs)
-        delay = self._server.fetch_times.seconds(most, sent_bytes)
-        self._fetching = eventlet.spawn_after(delay, self._release_inputs)
+        max_bytes = max(stage.result_bytes for stage in sizes) * len(self._inputs)
+        delay = self._server.fetch_times.seconds(max_bytes, sent_bytes)
+        self._release_timer = eventlet.spawn_after(delay, self._release_inputs)
 
     def _release_inputs(self) -> None:
         # If the stream breaks off later they are made again, which is rare.
@@ -488,14 +488,16 @@
             self._inputs = None
         self.release()
 
-    def _pass_failure(self, attempt: Attempt, reply: Response) -> None:
-        status = reply.head.status
-        body = attempt.read_body(limit=self._silence_limit(), most=_MAX_ANSWER_BYTES)
+    def _forward_failure(self, attempt: Attempt, response: Response) -> None:
+        status = response.head.status
+        body = attempt.read_body(limit=self._event_timeout(), most=_MAX_RESPONSE_BYTES)
         if status in NOT_RUN_STATUSES or self._has_started:
             raise OutcomeUnknownError(f"status {status}")
         if status >= 500 and self._may_run_again():
             raise OutcomeUnknownError(f"status {status}")
-        self._caller.respond(status, list(end_to_end_headers(reply.head.headers)), body)
+        self._caller.respond(
+            status, list(end_to_end_headers(response.head.headers)), body
+        )
 
     def _handle_refusal(self, candidate: Candidate, error: NotRunError) -> None:
         if error.status == _CONFLICT:
@@ -506,45 +508,48 @@
             self._exclude.add(candidate.target.id)
         self._refusals += 1
         if self._refusals > _MAX_REFUSALS:
-            raise self._end("no engine took the request")
+            raise self._failure_error("no engine took the request")
 
     def _may_run_again(self) -> bool:
         context = self._context
         return (
             context.route.may_repeat
-            and self._has_run + 1 < context.route.attempts
+            and self._runs + 1 < context.route.attempts
             and context.remaining > 0
         )
 
     def _check_resumable(self) -> None:
         context = self._context
-        if context.route.may_repeat and self._has_run < context.route.attempts:
+        if context.route.may_repeat and self._runs < context.route.attempts:
             return
-        raise self._end("the engine broke off")
+        raise self._failure_error("the engine broke off")
 
-    def _end(self, detail: str) -> RequestError:
-        if self._has_run:
+    def _failure_error(self, detail: str) -> RequestError:
+        if self._runs:
             return RequestError(ErrorKind.TARGET_FAILED, detail, ran=Ran.UNKNOWN)
         wait = self._server.selector.permit_wait(self._context.service.name)
         return self._context.rejection_error(
             ErrorKind.NO_TARGET, detail, retry_after=add_jitter(wait)
         )
 
-    def _first_limit(self, choice: EngineChoice) -> float:
+    def _first_event_timeout(self, choice: EngineChoice) -> float:
         context = self._context
         if not self._may_run_again():
             return context.remaining
-        limit = max(_FIRST_SILENT_S, _FIRST_FACTOR * choice.finish_seconds)
+        limit = max(
+            _MIN_FIRST_EVENT_TIMEOUT_S,
+            _FIRST_EVENT_TIMEOUT_FACTOR * choice.finish_seconds,
+        )
         return min(context.remaining, limit)
 
-    def _silence_limit(self) -> float:
+    def _event_timeout(self) -> float:
         context = self._context
         if not self._may_run_again():
             return context.remaining
-        gap = max(_SILENT_S, _SILENT_GAPS * context.route.event_gap)
+        gap = max(_MIN_EVENT_TIMEOUT_S, _EVENT_TIMEOUT_GAPS * context.route.event_gap)
         return min(context.remaining, gap)
 
-    def _note(
+    def _log_failed_attempt(
         self, candidate: Candidate, reason: str, ran: str, status: int = 0
     ) -> None:
         self._server.logger.warning(
--- a/packages/serving/bergamotsaddle_serving/usage.py
+++ b/packages/serving/bergamotsaddle_serving/usage.py
@@ -47,7 +47,7 @@
     ) -> None:
         self._counters = counters
         self._processor_seconds = processor_seconds
-        self._began_at = now()
+        self._started_at = now()
         self._cpu_before = processor_seconds()
         self._counts_before = self._read()
         self._delay = 0.0
@@ -58,7 +58,7 @@
 
     def collect(self) -> Usage | None:
         """The usage since the last report, None before the interval is over."""
-        elapsed = now() - self._began_at
+        elapsed = now() - self._started_at
         if elapsed < REPORT_INTERVAL_S:
             return None
         spent = self._processor_seconds() - self._cpu_before
@@ -68,7 +68,7 @@
             round(self._delay, 4),
             {name: counts[name] - self._counts_before[name] for name in counts},
         )
-        self._began_at += elapsed
+        self._started_at += elapsed
         self._cpu_before += spent
         self._counts_before = counts
         self._delay = 0.0
--- a/tests/test_serving_stop.py
+++ b/tests/test_serving_stop.py
@@ -51,7 +51,7 @@
         plain.serve = lambda context: eventlet.sleep(5)
         handler = make_handler()
         handler._plain = plain
-        handler._context = lambda head, raw: make_context(is_sent=is_sent)
+        handler._make_context = lambda head, raw: make_context(is_sent=is_sent)
         handler._dialect.read_head.return_value = mock.Mock(id="r1")
         listener = eventlet.listen(("127.0.0.1", 0))
         client = eventlet.connect(listener.getsockname())
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -253,10 +253,10 @@
         for number in range(100):
             key = PieceKey(f"r{number}", 0, 0)
             queue.queue.add(QueuedPiece(key, 0, False, 9.0, 9.0, 9_000_000, "k", ()))
-        worker = mock.Mock(full_call_by=0.0)
-        thread = eventlet.spawn(self.owner.dispatcher._await_news, queue, worker)
+        worker = mock.Mock(wait_for_memory_until=0.0)
+        thread = eventlet.spawn(self.owner.dispatcher._wait_for_change, queue, worker)
         advance(0.001)
-        queue.wake()
+        queue.wake_workers()
         advance(0.01)
         self.assertTrue(thread.dead)
 
@@ -454,7 +454,7 @@
         accepted = self.owner.submit(message, "other")
         self.assertEqual(accepted.load, self.owner.loads()["encode"])
         self.peers.id_of.return_value = "owner"
-        self.exchange._take_acknowledgement(accepted, ("127.0.0.2", 7000))
+        self.exchange._handle_acknowledgement(accepted, ("127.0.0.2", 7000))
         self.peers.record_load.assert_called_with("owner", "encode", accepted.load)
 
     def test_targets_without_pieces_wake_nobody(self):
@@ -497,9 +497,9 @@
     def test_releases_go_to_the_successor_of_a_dead_owner(self):
         self.start()
         self.finish(0.6)
-        place = next(iter(self.run_._place_by_handle.values()))
-        self.run_._place_by_handle = dict.fromkeys(
-            self.run_._place_by_handle, place._replace(owner="dead")
+        location = next(iter(self.run_._location_by_handle.values()))
+        self.run_._location_by_handle = dict.fromkeys(
+            self.run_._location_by_handle, location._replace(owner="dead")
         )
         self.peers.is_alive.return_value = False
         self.run_.release()
