--- a/packages/serving/bergamotsaddle_serving/_stage_worker.py
+++ b/packages/serving/bergamotsaddle_serving/_stage_worker.py
@@ -1,4 +1,4 @@
-"""What an owner of a stage queue keeps of a service and of each of its targets."""
+"""State of a stage queue and of each target that works on it."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -17,21 +17,38 @@
 )
 from bergamotsaddle_serving.wait_errors import StageKey, WaitErrors
 
+# Upper bound on a single call's slowdown, and its weight in the moving average.
 _MAX_SLOWDOWN = 6.0
 _SLOWDOWN_WEIGHT = 0.3
-# A target that failed gets nothing for a time that doubles up to the longest.
+# A target that failed gets no calls for a time that doubles with each failure.
 _FIRST_BACKOFF_S = 0.3
 _MAX_BACKOFF_S = 3.0
-# How long after a sign of other callers a target is taken to have some: an owner that
-# was replaced works off its queue for up to a few calls.
+# How long a target counts as shared after a sign that another instance calls it: an
+# owner that was replaced may still make a few calls to finish its queue.
 _SHARED_S = 2.0
-# Requests whose senders, and results that, are remembered; a lost datagram is repeated
-# within a second, and a daemon begins some hundred pieces in it.
+# Limit on remembered senders, outcomes and cancelled requests. A lost datagram is
+# repeated within a second, in which a daemon starts some hundred pieces.
 _MAX_REMEMBERED = 5_000
 
 
 class Worker:
-    """What this owner knows of one target."""
+    """What the queue owner knows about one target.
+
+    Args:
+        target: The target.
+        batching: Batching parameters of its service.
+
+    Attributes:
+        memory: Estimate of the memory that the target has free for results.
+        slowdown: Moving average of actual against expected call time.
+        free_at: When the running call is expected to end, or the last one ended.
+        wait_for_memory_until: Until when the next call may wait for memory.
+        exclusive_from: From when on no other instance is assumed to call the target.
+        failures: Consecutive failures.
+        backoff_until: Until when the target gets no calls after a failure.
+        to_release: Handles of results that are to be released.
+        release_requested: Set when handles are added to ``to_release``.
+    """
 
     def __init__(self, target: Target, batching: Batching) -> None:
         self.target = target
@@ -46,40 +63,67 @@
         self.release_requested = Event()
 
     def record_sharing(self) -> None:
-        """Note a sign that others call the target as well.
+        """Record a sign that another instance calls the target as well.
 
-        A call then waits at the target before it begins, and inputs that were given up
-        shortly after sending it would be gone by its turn. That happens around every
-        change of owners, when two of them call the same targets for a moment.
+        A call may then wait at the target before it starts. Inputs that were released
+        a fixed time after sending it would be gone by then. This happens around every
+        change of owners, when two of them call the same targets for a short time.
         """
         self.exclusive_from = now() + _SHARED_S
 
     def is_shared(self) -> bool:
-        """Tell whether others may have called the target lately."""
+        """Return whether another instance may have called the target recently."""
         return now() < self.exclusive_from
 
     def back_off(self) -> None:
-        """Give it nothing for a while after a failure."""
+        """Stop calls to the target for a while after a failure."""
         pause = min(_MAX_BACKOFF_S, _FIRST_BACKOFF_S * 2.0**self.failures)
         self.failures += 1
         self.backoff_until = now() + pause
 
     def record_call_seconds(self, seconds: float, expected: float) -> None:
-        """Take the time of an answered call into account."""
+        """Record the duration of a successful call.
+
+        Args:
+            seconds: Actual duration.
+            expected: Expected duration.
+        """
         self.failures = 0
         ratio = min(_MAX_SLOWDOWN, seconds / expected)
         self.slowdown += _SLOWDOWN_WEIGHT * (ratio - self.slowdown)
 
 
 class Sender(NamedTuple):
-    """One life of the instance that gets a request's results."""
+    """Instance that receives the results of a request.
+
+    Attributes:
+        id: Name of the instance.
+        incarnation: Its incarnation, None if it is unknown.
+    """
 
     id: str
     incarnation: str | None
 
 
 class ServiceQueue:
-    """One stage service's queue and workers."""
+    """Queue and workers of one stage service.
+
+    Args:
+        service: Name of the service.
+        batching: Batching parameters of the service.
+        policy: Enabled mechanisms.
+
+    Attributes:
+        queue: Pieces that wait for a call.
+        worker_by_incarnation: Workers of the targets, by incarnation.
+        sender_by_request: Instances that receive the results of requests.
+        running: Pieces in running calls.
+        outcome_by_key: Outcomes of recently finished pieces.
+        cancelled: Recently cancelled requests.
+        changed: Event that wakes the workers; replaced each time that it is sent.
+        disowned_checks: Consecutive checks that found another owner for the queue.
+        wait_errors: Corrects forecasts by the errors of earlier ones.
+    """
 
     def __init__(self, service: str, batching: Batching, policy: Policy) -> None:
         self.service = service
@@ -95,10 +139,10 @@
         self._submitted_at = float("-inf")
 
     def record_submission(self) -> None:
-        """Note that pieces came in.
+        """Record that pieces were submitted.
 
-        After a pause this instance may have just become the owner, and calls of the
-        one before may still run.
+        After a pause in submissions this instance may have just become the owner, and
+        calls of the previous owner may still be running.
         """
         at = now()
         if at - self._submitted_at > _SHARED_S:
@@ -107,24 +151,24 @@
         self._submitted_at = at
 
     def record_sender(self, request: str, sender: Sender) -> None:
-        """Note which instance gets a request's results."""
+        """Record which instance receives a request's results."""
         self.sender_by_request[request] = sender
         _trim(self.sender_by_request)
 
-    def record_outcome(self, key: PieceKey, done: PieceOutcome) -> None:
-        """Keep a result, in case its datagram gets lost."""
-        self.outcome_by_key[key] = done
+    def record_outcome(self, key: PieceKey, outcome: PieceOutcome) -> None:
+        """Keep the outcome of a piece in case the datagram with it is lost."""
+        self.outcome_by_key[key] = outcome
         _trim(self.outcome_by_key)
         stage = StageKey(key.request, key.stage, key.round)
         self.wait_errors.record_piece_done(stage, now())
 
     def pop_handles(self, requests: set[str]) -> list[str]:
-        """Forget the results of requests; their handles."""
+        """Remove the outcomes of requests and return the handles of their results."""
         keys = [key for key in self.outcome_by_key if key.request in requests]
         return [self.outcome_by_key.pop(key).handle for key in keys]
 
     def record_cancelled(self, request: str) -> None:
-        """Note that the results of a request are not needed any more."""
+        """Record that the results of a request are no longer needed."""
         self.cancelled[request] = None
         _trim(self.cancelled)
 
@@ -134,12 +178,12 @@
         changed.send()
 
     def available_workers(self) -> list[Worker]:
-        """Workers whose targets are not resting after a failure."""
+        """Return the workers whose targets are not backing off after a failure."""
         at = now()
         return [w for w in self.worker_by_incarnation.values() if w.backoff_until <= at]
 
     def other_targets(self, worker: Worker) -> list[OtherTarget]:
-        """What the other workers can take."""
+        """Return zone, availability and free memory of the other usable targets."""
         at = now()
         return [
             OtherTarget(
--- a/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls the targets of a stage queue, one call after the other."""
+"""Sends batches of pieces from a stage queue to its targets."""
 
 from typing import Any
 
@@ -21,51 +21,55 @@
 from bergamotsaddle_serving.stage_results import FinishedPiece, StageResults
 from bergamotsaddle_serving.target_crashes import TargetCrashes
 
-# A call that takes this many times its expected time, and a little, counts as lost: a
-# target without power never answers, while slow ones keep within it.
+# A call counts as lost after this multiple of its expected time plus the extra. A
+# target that lost power never responds, while slow ones stay within the limit.
 _LOST_FACTOR = 2.0
 _LOST_EXTRA_S = 0.4
+# Pause after a target refused a call because it was busy or had no permit left.
 _FULL_PAUSE_S = 0.05
 _IDLE_CHECK_S = 0.25
-# Pieces that come in wake a worker; with none it only looks whether it is dismissed.
+# New pieces wake a worker. With an empty queue it wakes by itself only to check whether
+# its target still belongs to the queue.
 _EMPTY_CHECK_S = 5.0
+# Failed calls after which a piece is not queued again.
 _MAX_TRIES = 2
-# A worker that found nothing to take looks again after this for each piece that waits:
-# some twenty times as long as it takes to look at one.
+# Pause per queued piece before a worker that found nothing to send scans the queue
+# again: some twenty times as long as it takes to look at one piece.
 _SCAN_PAUSE_S = 5e-5
-# How long after a call the next one may wait for the room that its results give up:
-# their way to the sender, from there to an engine, and the word that they were fetched.
+# How long after a call the next one may wait for the memory of its results. It covers
+# the way of the results to the sender and from there to an engine, and the message that
+# they were fetched.
 _MEMORY_WAIT_S = 0.09
-# Of a result's handle in a call.
+# Size of a result's handle in a call.
 _HANDLE_BYTES = 40
 
 
 def _input_bytes(batch: list[QueuedPiece]) -> int:
-    """Size of all inputs of a call; pieces of one stage share theirs."""
+    """Return the size of all inputs of a call; pieces of one stage share theirs."""
     by_stage = {piece.key[:2]: piece.input_bytes for piece in batch}
     return sum(by_stage.values())
 
 
 def _call_bytes(batch: list[QueuedPiece]) -> int:
-    """Approximate size of a call, most of which are handles of inputs."""
+    """Return the approximate size of a call, which is mostly handles of inputs."""
     return _HANDLE_BYTES * sum(1 + len(piece.inputs) for piece in batch)
 
 
 class StageDispatcher:
-    """Takes pieces out of a queue for one target at a time and calls it.
+    """Pops batches from a queue and sends them to its targets.
 
     Args:
         calls: Makes the calls.
-        results: Tells the senders what became of their pieces.
-        releases: Gives up results that nobody waits for any more.
-        logger: Gets a line for each call.
-        policy: Which mechanisms are in force.
-        fetch_times: Tells when targets have fetched their inputs.
-        ends: Finds out whether a target has ended, and under which requests.
+        results: Reports outcomes to the senders of the pieces.
+        releases: Releases results that are no longer needed.
+        logger: Logs each call.
+        policy: Enabled mechanisms.
+        fetch_times: Estimates when targets have fetched their inputs.
+        crashes: Detects crashed targets and the requests that they were running.
 
     Attributes:
-        calls_made: Calls so far.
-        pieces_sent: Pieces in them.
+        calls_made: Number of calls so far.
+        pieces_sent: Number of pieces in these calls.
     """
 
     def __init__(
@@ -90,14 +94,15 @@
         self.pieces_sent = 0
 
     def run(self, queue: ServiceQueue, worker: Worker) -> None:
-        """Call a target while it belongs to the queue."""
+        """Call a target for as long as it belongs to the queue."""
         while queue.worker_by_incarnation.get(worker.target.incarnation) is worker:
             at = now()
             if worker.backoff_until > at:
                 self.reject_if_no_target(queue)
                 eventlet.sleep(min(_IDLE_CHECK_S, worker.backoff_until - at))
                 continue
-            # Asked first, a dead target holds no pieces up for a whole call.
+            # A cheap query first: a dead target must not hold up pieces until a whole
+            # call has timed out.
             if worker.failures and not self._query_memory(worker):
                 worker.back_off()
                 continue
@@ -122,7 +127,11 @@
     def _isolate_suspects(
         self, queue: ServiceQueue, batch: list[QueuedPiece]
     ) -> list[QueuedPiece]:
-        """The pieces that may go into one call; others wait or are given up."""
+        """Return the pieces that may share a call.
+
+        Pieces of quarantined requests fail, and suspects that must not share a call
+        with the rest go back to the queue.
+        """
         suspects = self._crashes.suspects
         fatal = [piece for piece in batch if suspects.is_quarantined(piece.work)]
         failed = PieceResult("", PieceFailure.FAILED)
@@ -134,11 +143,11 @@
         return call
 
     def _wait_for_change(self, queue: ServiceQueue, worker: Worker) -> None:
-        # Taken before the pause: news that come in it would else go unheard.
+        # Read before the pause, so that a change during it is not missed.
         changed = queue.changed
-        # Each piece that comes and each result that is given up wakes all workers. In
-        # a burst each of them would go through hundreds of pieces hundreds of times a
-        # second, only to find no room; the owner would answer late, and be left.
+        # Each submitted piece and each released result wakes all workers. In a burst,
+        # each worker would scan hundreds of pieces hundreds of times a second and find
+        # no memory. The owner would respond late, and senders would abandon it.
         eventlet.sleep(len(queue.queue) * _SCAN_PAUSE_S)
         wait = worker.wait_for_memory_until - now()
         if not len(queue.queue):
@@ -182,8 +191,8 @@
             eventlet.sleep(_FULL_PAUSE_S)
             return
         worker.record_call_seconds(now() - started_at, expected)
-        for work in {piece.work for piece in batch}:
-            self._crashes.suspects.record_success(worker.target, work)
+        for fingerprint in {piece.work for piece in batch}:
+            self._crashes.suspects.record_success(worker.target, fingerprint)
         self._logger.info(
             "stage_call",
             service=queue.service,
@@ -204,11 +213,15 @@
         self._handle_results(queue, worker, batch, results)
 
     def _query_memory(self, worker: Worker) -> bool:
-        """Ask a target for its room; False if it does not answer."""
+        """Query the free memory of a target.
+
+        Returns:
+            Whether the target responded.
+        """
         try:
             free = self._calls.query_free_memory(worker.target)
         except (ConnectionLostError, ValueError) as error:
-            # What is known stays; the next refusal asks again.
+            # The estimate stays as it is; the next refusal triggers another query.
             self._logger.warning(
                 "room_unknown", target=worker.target.id, reason=str(error)
             )
@@ -277,9 +290,9 @@
         self._results.finish(queue, finished)
 
     def reject_if_no_target(self, queue: ServiceQueue) -> None:
-        """Send all pieces back if every target rests after failures.
+        """Send all queued pieces back if every target is backing off.
 
-        They have better chances at another queue, and their senders choose that.
+        The senders then choose another queue, where the pieces have better chances.
         """
         if not queue.available_workers():
             self._results.finish_waiting(queue, PieceFailure.NO_TARGET)
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -1,4 +1,4 @@
-"""Owns queues of stage services, and takes pieces from all instances into them."""
+"""Owns stage queues and accepts pieces from all instances into them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -37,29 +37,29 @@
 from bergamotsaddle_serving.zone_reach import ZoneReach
 
 _IDLE_CHECK_S = 0.25
-# Another owner must have been seen at this many checks in a row, half a second apart,
-# for pieces to move there.
+# Consecutive checks, half a second apart, that must find another owner before queued
+# pieces move there.
 _CHECKS_TO_MOVE = 2
 
 
 class StageOwner:
-    """The queues that this instance owns.
+    """The stage queues that this instance owns.
 
     Args:
         view: Targets and services.
-        peers: Where results go.
+        peers: The other instances, which receive the results.
         calls: Makes the calls to targets.
-        dialect: Tells which target made a result.
-        reach: Knows the zones that are cut off.
-        logger: Gets a line for each call.
-        policy: Which mechanisms are in force.
-        fetch_times: Tells when targets have fetched their inputs.
-        ends: Finds out whether a target has ended, and under which requests.
+        dialect: Finds the target that holds a result.
+        reach: Zones that are cut off from this instance.
+        logger: Logs calls and failures.
+        policy: Enabled mechanisms.
+        fetch_times: Estimates when targets have fetched their inputs.
+        crashes: Detects crashed targets and the requests that they were running.
 
     Attributes:
-        scopes: Which targets share a queue.
+        scopes: Determines which targets share a queue.
         results: Sends results to the requests that wait for them.
-        caller: Calls the targets.
+        dispatcher: Calls the targets.
     """
 
     def __init__(
@@ -98,14 +98,15 @@
         reach.subscribe(self._on_targets_changed)
 
     def submit(self, message: Submit, sender: str) -> Accepted | Results:
-        """Take pieces into the queue.
+        """Add pieces to their queue.
 
         Args:
             message: The pieces.
-            sender: Instance that gets the results.
+            sender: Instance that receives the results.
 
         Returns:
-            What to tell the sender at once.
+            The immediate response to the sender: known outcomes, or else an
+            acknowledgement.
         """
         queue = self._queue(message.service)
         if queue is None or not self._has_targets(queue):
@@ -118,9 +119,11 @@
         incarnation = self._peers.incarnation_of(sender)
         queue.record_sender(message.request, Sender(sender, incarnation))
         self._record_started(queue, message)
-        known = [self._add_piece(queue, message, number) for number in message.numbers]
+        outcomes = [
+            self._add_piece(queue, message, number) for number in message.numbers
+        ]
         queue.wake_workers()
-        done = [result for result in known if result is not None]
+        done = [outcome for outcome in outcomes if outcome is not None]
         if done:
             return Results(message.request, message.stage, message.round, done)
         return Accepted(
@@ -133,10 +136,11 @@
         )
 
     def _verify_owner(self, service: str) -> None:
-        """Find out whether the owner lives whose pieces come here.
+        """Check whether the preferred owner of a queue is alive.
 
-        Its sender missed it. Until this instance does as well, it tells nobody the load
-        of the queue, and all others admit requests without knowing it.
+        Pieces come here because their sender considers that owner dead. As long as
+        this instance does not, it does not publish the load of the queue, and all
+        instances admit requests without knowing it.
         """
         owner = self._owner(service)
         if owner not in (None, self._peers.own.id):
@@ -146,14 +150,14 @@
         stage = StageKey(message.request, message.stage, message.round)
         if queue.wait_errors.has(stage):
             return
-        turn = place(message.urgency, has_started=message.has_started)
+        queue_place = place(message.urgency, has_started=message.has_started)
         load = self._load(queue)
-        expected = load[turn] + load[PLACES]
+        expected = load[queue_place] + load[PLACES]
         pieces = len(message.numbers)
-        queue.wait_errors.record_start(stage, turn, pieces, expected, now())
+        queue.wait_errors.record_start(stage, queue_place, pieces, expected, now())
 
     def cancel(self, message: Cancel) -> None:
-        """Drop what waits for a request, and mark what runs as not needed."""
+        """Drop the queued pieces of a request and mark its running ones as unneeded."""
         for queue in self._queue_by_service.values():
             if message.request in queue.sender_by_request:
                 self._cancel(queue, message.request)
@@ -164,11 +168,11 @@
         queue.record_cancelled(request)
 
     def drop_orphans(self) -> None:
-        """Drop the requests of instances that have died, and give up their results.
+        """Drop the requests of dead instances and release their results.
 
-        Nobody would fetch these; their pieces would take calls, and their results hold
-        room until they expire. An instance that was only cut off has its stages done
-        again.
+        Otherwise their pieces would use up calls, and their results, which are never
+        fetched, would hold memory until they expire. An instance that was only cut off
+        runs its stages again.
         """
         for queue in self._queue_by_service.values():
             senders = set(queue.sender_by_request.values())
@@ -195,12 +199,16 @@
         )
 
     def release(self, message: Release) -> None:
-        """Give up results at the targets that hold them."""
+        """Release results at the targets that hold them."""
         queue = self._queue_by_service.get(message.service)
         self._releases.release(queue, message.handles)
 
     def loads(self) -> dict[str, list[float]]:
-        """Load of each owned queue: drain by place, then call time and rate."""
+        """Return the load of each owned queue by service.
+
+        A load is the drain time of each queue place, followed by the call time and
+        the rate in pieces per second.
+        """
         return {
             service: self._load(queue)
             for service, queue in self._queue_by_service.items()
@@ -208,23 +216,24 @@
         }
 
     def _owner(self, service: str) -> str | None:
-        """The instance that owns the queue of which this one is a possible owner."""
+        """Return the owner of the queue that serves this instance's zone."""
         scope = self.scopes.of(service, self._peers.own.zone)
         return next(iter(rank_owners(self._peers, service, scope)), None)
 
     def is_busy(self) -> bool:
-        """Tell whether pieces wait or run here."""
+        """Return whether any pieces are queued or running."""
         return any(len(q.queue) or q.running for q in self._queue_by_service.values())
 
     def hand_over(self, *, is_final: bool = False) -> None:
-        """Have pieces that wait here sent to another instance that owns the queue now.
+        """Send queued pieces back if another instance owns their queue now.
 
-        After an owner's return two instances would go on calling the same targets,
-        each with half-filled calls and half of the knowledge of their room.
+        Otherwise, after an owner has returned, two instances would keep calling the
+        same targets, each with half-filled calls and half of the knowledge of the
+        targets' memory.
 
         Args:
-            is_final: Whether this instance stops, so that the others need not be seen
-                twice in its place.
+            is_final: Whether this instance is stopping. Pieces then move at once,
+                without waiting for another check to confirm the new owner.
         """
         for queue in self._queue_by_service.values():
             self._update_workers(queue)
@@ -237,7 +246,7 @@
                 self.results.finish_waiting(queue, PieceFailure.MOVED)
 
     def open_queues(self) -> None:
-        """Open a queue for each stage service, so that its waits are known."""
+        """Open a queue for each stage service, so that its load is published."""
         configuration = self._view.configuration
         if configuration is None:
             return
@@ -278,19 +287,23 @@
     def _remove_workers(
         self, queue: ServiceQueue, incarnations: set[tuple[str, int]]
     ) -> None:
-        """Stop calling targets that are not this queue's any more.
+        """Remove the workers of targets that no longer belong to a queue.
 
-        A zone whose instances all stop for a moment has its targets called by owners
-        in other zones. Had these kept them after the zone's return, two owners would
-        call one target for good, each blind to the results that the other one's calls
-        hold there: two pieces in five then found no room.
+        While no instance of a zone is running, owners in other zones call its targets.
+        If they kept these targets after the zone's return, two owners would call one
+        target permanently, each unaware of the memory that the results of the other's
+        calls hold there. Two pieces in five then found no memory.
+
+        Args:
+            queue: The queue.
+            incarnations: Incarnations of the targets that belong to it.
         """
         for incarnation in [
             incarnation
             for incarnation in queue.worker_by_incarnation
             if incarnation not in incarnations
         ]:
-            # Its threads end by themselves after the call that runs.
+            # The worker's green threads exit once their running call has finished.
             del queue.worker_by_incarnation[incarnation]
 
     def _run_supervised(
@@ -299,8 +312,8 @@
         queue: ServiceQueue,
         worker: Worker,
     ) -> None:
-        # An error nobody thought of would end the only green thread that calls this
-        # target, and its queue would stand still; the log line tells of it.
+        # An unexpected error must not end the only green thread that calls this target,
+        # or its queue would stall. The error is logged and the loop restarted.
         while queue.worker_by_incarnation.get(worker.target.incarnation) is worker:
             try:
                 loop(queue, worker)
@@ -310,14 +323,14 @@
 
     def _own_targets(self, service: str) -> list[Target]:
         scope = self.scopes.of(service, self._peers.own.zone)
-        inhabited = self._peers.active_zones()
+        active_zones = self._peers.active_zones()
         return [
             known.target
             for known in self._view.usable(service)
             if not self._reach.is_lost(known.target.zone)
             and (
                 self.scopes.of(service, known.target.zone) == scope
-                or known.target.zone not in inhabited
+                or known.target.zone not in active_zones
             )
         ]
 
@@ -356,7 +369,7 @@
         return None
 
     def _local_zone(self, message: Submit) -> tuple[str, float]:
-        """The zone in which pieces would move least, and the bytes that are there."""
+        """Return the zone with the least cross-zone transfer and its share in bytes."""
         bytes_by_zone = {message.zone: float(message.result_bytes)}
         for handle in message.inputs:
             target = self._view.target_by_address.get(
--- a/packages/serving/bergamotsaddle_serving/stage_releases.py
+++ b/packages/serving/bergamotsaddle_serving/stage_releases.py
@@ -1,4 +1,4 @@
-"""Gives up results at the targets that hold them."""
+"""Releases results at the targets that hold them."""
 
 from typing import Any
 
@@ -14,19 +14,19 @@
 from bergamotsaddle_serving.view import View
 from bergamotsaddle_serving.zone_reach import ZoneReach
 
-# How often a thread with nothing to give up looks whether its target is still called.
+# How often an idle green thread checks whether its target still belongs to the queue.
 _IDLE_CHECK_S = 5.0
 
 
 class StageReleases:
-    """Gives up results, those of one target in one call where several wait.
+    """Releases results, batching the pending ones of a target into one call.
 
     Args:
-        view: Knows targets that are not called any more.
-        reach: Knows the zones that are cut off.
+        view: Finds targets that are no longer called from here.
+        reach: Zones that are cut off from this instance.
         calls: Makes the calls.
-        dialect: Tells which target holds a result.
-        logger: Gets a line when a result is left to expire.
+        dialect: Finds the target that holds a result.
+        logger: Logs results that are left to expire.
     """
 
     def __init__(
@@ -44,21 +44,21 @@
         self._logger = logger
 
     def release(self, queue: ServiceQueue | None, handles: list[str]) -> None:
-        """Give up results.
+        """Release results.
 
         Args:
-            queue: The queue of their service, None if it was dropped.
-            handles: The results.
+            queue: Queue of their service, None if there is none.
+            handles: Handles of the results.
         """
-        handles_by_maker: dict[Address, list[str]] = {}
+        handles_by_address: dict[Address, list[str]] = {}
         for handle in handles:
-            maker = self._dialect.result_address(handle)
-            handles_by_maker.setdefault(maker, []).append(handle)
-        for maker, group in handles_by_maker.items():
-            self._queue_release(maker, group, queue)
+            address = self._dialect.result_address(handle)
+            handles_by_address.setdefault(address, []).append(handle)
+        for address, group in handles_by_address.items():
+            self._queue_release(address, group, queue)
 
     def run(self, queue: ServiceQueue, worker: Worker) -> None:
-        """Give up what is asked for at one target, while it is called."""
+        """Process the releases of a target for as long as it belongs to the queue."""
         while queue.worker_by_incarnation.get(worker.target.incarnation) is worker:
             if not worker.to_release:
                 with eventlet.Timeout(_IDLE_CHECK_S, False):
@@ -72,23 +72,23 @@
                 queue.wake_workers()
 
     def _queue_release(
-        self, maker: Address, handles: list[str], queue: ServiceQueue | None
+        self, address: Address, handles: list[str], queue: ServiceQueue | None
     ) -> None:
         workers = queue.worker_by_incarnation.values() if queue else ()
         for worker in workers:
-            if worker.target.address == maker:
+            if worker.target.address == address:
                 worker.to_release += handles
                 if not worker.release_requested.ready():
                     worker.release_requested.send()
                 return
-        # Made by a target that this owner does not call any more.
-        eventlet.spawn_n(self._release_directly, maker, handles)
+        # The target that holds them is no longer called from here.
+        eventlet.spawn_n(self._release_directly, address, handles)
 
-    def _release_directly(self, maker: Address, handles: list[str]) -> None:
-        target = self._view.target_by_address.get(maker)
+    def _release_directly(self, address: Address, handles: list[str]) -> None:
+        target = self._view.target_by_address.get(address)
         if target is None or self._reach.is_lost(target.zone):
-            # They have gone with their maker, or nobody can be told to give them up.
-            self._logger.info("release_needless", address=str(maker))
+            # The results are gone with their target, or the target is unreachable.
+            self._logger.info("release_needless", address=str(address))
             return
         self._call_release(target, handles)
 
@@ -96,7 +96,7 @@
         try:
             self._calls.release(target, handles)
         except ConnectionLostError as error:
-            # They end by themselves after their time; the room stays counted.
+            # The results expire by themselves. Their memory counts as used until then.
             self._logger.warning("release_failed", target=target.id, reason=str(error))
             return False
         return True
--- a/packages/serving/bergamotsaddle_serving/stage_results.py
+++ b/packages/serving/bergamotsaddle_serving/stage_results.py
@@ -1,4 +1,4 @@
-"""Tells the senders of pieces what became of them."""
+"""Reports outcomes of pieces to the instances that submitted them."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,17 +12,17 @@
 
 
 def _no_receiver(message: Results | Started) -> None:
-    raise RuntimeError(f"nobody takes {type(message).__name__} here yet")
+    raise RuntimeError(f"no receiver is set for {type(message).__name__}")
 
 
 class StageResults:
     """Sends results to the instances whose requests wait for them.
 
     Args:
-        peers: The instances.
+        peers: The other instances.
 
     Attributes:
-        deliver_here: Takes the messages for requests of this instance itself.
+        deliver_locally: Called with messages for requests of this instance itself.
     """
 
     def __init__(self, peers: Peers) -> None:
@@ -30,7 +30,12 @@
         self.deliver_locally: Callable[[Results | Started], None] = _no_receiver
 
     def finish(self, queue: ServiceQueue, finished: Iterable[FinishedPiece]) -> None:
-        """Tell how pieces ended, and keep their results in case a datagram is lost."""
+        """Report outcomes, and keep results in case a datagram is lost.
+
+        Args:
+            queue: Queue of the pieces.
+            finished: Finished pieces with their results.
+        """
         done_by_stage: dict[tuple[str, int, int], list[PieceOutcome]] = {}
         for key, result in finished:
             done = PieceOutcome(key.number, result.handle, result.reason)
@@ -42,13 +47,13 @@
             self._send(queue, Results(request, stage, round_number, group))
 
     def finish_waiting(self, queue: ServiceQueue, reason: PieceFailure) -> None:
-        """Send all pieces that wait back to their requests."""
+        """Send all queued pieces back to their requests, with the reason."""
         keys = list(queue.queue.piece_by_key)
         queue.queue.piece_by_key.clear()
         self.finish(queue, [(key, PieceResult("", reason)) for key in keys])
 
     def send_started(self, queue: ServiceQueue, batch: list[QueuedPiece]) -> None:
-        """Tell that a target has fetched the inputs of pieces."""
+        """Report that a target has fetched the inputs of pieces."""
         numbers: dict[tuple[str, int, int], list[int]] = {}
         for piece in batch:
             if piece.inputs:
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -1,4 +1,4 @@
-"""Has the stages of one request done by the owners of their queues."""
+"""Runs the stages of one request through the owners of their queues."""
 
 import random
 from collections.abc import Callable
@@ -25,28 +25,29 @@
 from bergamotsaddle_serving.stage_load import PendingWork
 from bergamotsaddle_serving.stage_plan import StagePlan
 
-# An owner acknowledges within a few ms; after this it is asked again, and after two
-# more of these the next owner is.
+# An owner acknowledges a submission within a few ms. One that has not is sent the
+# submission again after this time, and after two more of these without an answer the
+# next owner is used instead.
 _ACK_LIMIT_S = 0.08
 _MAX_UNACKNOWLEDGED = 2
-# A submission is repeated this often while it waits: a lost result comes again, and an
-# owner that has died is noticed.
+# An acknowledged submission is repeated at this interval while its pieces are
+# outstanding: results lost on the way are sent again, and a dead owner is noticed.
 _REFRESH_S = 0.4
-# Calls for one stage of a request that end without a result.
+# Failures that a request tolerates, over all of its stages.
 _MAX_FAILURES = 4
 _RETRY_PAUSE_S = 0.03
-# All targets of a queue rest after failures; another one, or the same one later, may
-# still do the stage within the request's time.
+# Pause after a queue reported that all its targets are backing off. Another queue, or
+# the same one later, may still run the stage before the request's deadline.
 _NO_TARGET_PAUSE_S = 0.05
 
 
 class StageOutcome(NamedTuple):
-    """What the stages of a request came to.
+    """Outcome of all stages of a request.
 
     Attributes:
         handles: Handles of the results that the request itself needs.
-        seconds: How long they took.
-        stages: For each stage its queue, expected and actual seconds, for logs.
+        seconds: Total duration of the stages.
+        stages: Number, scope, expected and actual seconds of each stage, for logs.
     """
 
     handles: tuple[str, ...]
@@ -55,7 +56,13 @@
 
 
 class _ResultLocation(NamedTuple):
-    """Where a result was made."""
+    """Queue that produced a result.
+
+    Attributes:
+        owner: Instance that owned the queue.
+        service: Stage service of the queue.
+        scope: Zone or region of the queue.
+    """
 
     owner: str
     service: str
@@ -63,7 +70,19 @@
 
 
 class _Submission:
-    """A stage of the request that is being done."""
+    """Pieces of a stage that were submitted to one owner.
+
+    Args:
+        stage: Number of the stage.
+        owner: Instance that owns the queue.
+        scope: Zone or region of the queue.
+        missing: Numbers of the pieces whose outcome is not known yet.
+        round_number: Round in which the pieces were submitted.
+
+    Attributes:
+        unacknowledged: Messages sent since the owner last responded.
+        next_at: When the submission is sent again.
+    """
 
     def __init__(
         self, stage: int, owner: str, scope: str, missing: set[int], round_number: int
@@ -78,22 +97,26 @@
 
 
 class StageRun:
-    """The stages of one request.
+    """Runs the stages of one request.
+
+    A round is a generation of attempts: a failure starts a new one, so that messages
+    about earlier attempts can be told apart.
 
     Args:
-        head: The request.
-        route: Its route.
-        plan: Where its stages are to run, and how long each takes.
-        exchange: Carries messages to the owners.
-        logger: Gets a line for each failure.
-        urgency: Its urgency, 0 first.
-        deadline_at: After which the results are of no use, on the hub's clock.
-        spread: Chooses queues, each with a number of pieces, for a stage service, the
-            number of a stage and that of its pieces.
-        coming: Counts the pieces of stages that are still to come.
-        keep_seconds: How long a service's targets keep results.
-        first_round: First round that may be used; later than any of an earlier run.
-        work: Fingerprint of the request.
+        head: Head of the request.
+        route: Route of the request.
+        plan: Queues and expected durations of the stages.
+        exchange: Sends messages to the queue owners.
+        logger: Logs failures.
+        urgency: Urgency of the request, 0 first.
+        deadline_at: Time on the hub's clock after which the results are useless.
+        choose_queues: Called with a stage service, the number of a stage and the
+            number of its pieces; returns scopes, each with a number of pieces.
+        pending: Counts the pieces of stages that have not been submitted yet.
+        ttl_seconds: Returns how long the targets of a service keep results.
+        first_round: First round to use. It must be later than all rounds of an
+            earlier run of the same request.
+        fingerprint: Fingerprint of the request.
     """
 
     def __init__(
@@ -137,10 +160,14 @@
         self._expires_at_by_stage: dict[int, float] = {}
 
     def run(self) -> StageOutcome:
-        """Have all stages done.
+        """Run all stages.
+
+        Returns:
+            Handles of the results and the durations of the stages.
 
         Raises:
-            RequestError: If they can't be done in time; the request has not run.
+            RequestError: If the stages can't be done in time. The request itself has
+                not run.
         """
         started_at = now()
         self._add_pending()
@@ -172,11 +199,11 @@
 
     @property
     def next_round(self) -> int:
-        """First round that a further run of the same request's stages may use."""
+        """First round that another run of the same request's stages may use."""
         return self._round + 1
 
     def release(self) -> None:
-        """Give up all results that are left, and whatever still waits."""
+        """Release all remaining results and cancel the outstanding pieces."""
         self._exchange.close_inbox(self._head.id)
         for stage in list(self._pending_by_stage):
             self._remove_pending(stage)
@@ -202,8 +229,8 @@
         for stage in self._plan.needed:
             if self._stage_is_done(stage) or not self._unassigned(stage):
                 continue
-            after = self._plan.predecessors(stage)
-            if not all(self._stage_is_done(number) for number in after):
+            predecessors = self._plan.predecessors(stage)
+            if not all(self._stage_is_done(number) for number in predecessors):
                 continue
             done = {s for s in self._plan.needed if self._stage_is_done(s)}
             if self._plan.should_wait(stage, done, elapsed):
@@ -216,7 +243,10 @@
     def _unassigned(self, stage: int) -> list[int]:
         results = self._results_by_stage.get(stage, {})
         submitted = {
-            n for o in self._submissions if o.stage == stage for n in o.missing
+            number
+            for submission in self._submissions
+            if submission.stage == stage
+            for number in submission.missing
         }
         numbers = range(self._plan.pieces[stage])
         return [n for n in numbers if n not in results and n not in submitted]
@@ -254,7 +284,7 @@
     def _send(self, submission: _Submission) -> None:
         at = now()
         remaining = self._deadline_at - at - self._plan.after_seconds(submission.stage)
-        # Sent on, pieces whose inputs have expired take a call only to learn that.
+        # A piece whose inputs have expired would use up a call only to fail.
         remaining = min(remaining, self._inputs_expire_at(submission.stage) - at)
         if remaining <= 0:
             raise self._rejection_error(
@@ -292,7 +322,7 @@
         self._exchange.send(submission.owner, message)
 
     def _inputs_expire_at(self, stage: int) -> float:
-        """When the first of a stage's inputs expires at its maker."""
+        """Return when the first input of a stage expires at its target."""
         expiry_times = [
             self._expires_at_by_stage.get(number, float("inf"))
             for number in self._plan.predecessors(stage)
@@ -306,8 +336,8 @@
         )
 
     def _abandon_owner(self, submission: _Submission) -> None:
-        # The owner has died, is cut off or stands still; its successor makes the
-        # pieces again if they were made at all.
+        # The owner has died, hangs or is unreachable. The next owner runs the pieces,
+        # again if need be.
         self._logger.warning(
             "owner_silent",
             request=self._head.id,
@@ -361,15 +391,15 @@
 
     def _handle_results(self, message: Results) -> None:
         failed: list[tuple[_Submission, PieceFailure | None]] = []
-        for done in message.done:
-            submission = self._find(message, done.number)
+        for outcome in message.done:
+            submission = self._find(message, outcome.number)
             if submission is None:
-                self._release_duplicate(message.stage, done)
+                self._release_duplicate(message.stage, outcome)
                 continue
             self._record_response(submission)
-            self._store_outcome(submission, done)
-            if not done.handle:
-                failed.append((submission, done.reason))
+            self._store_outcome(submission, outcome)
+            if not outcome.handle:
+                failed.append((submission, outcome.reason))
         if failed:
             self._handle_failure(*failed[0])
         if self._stage_is_done(message.stage):
@@ -377,17 +407,17 @@
             self._finished_at_by_stage[message.stage] = now()
             self._release_fetched()
 
-    def _store_outcome(self, submission: _Submission, done: PieceOutcome) -> None:
-        submission.missing.discard(done.number)
+    def _store_outcome(self, submission: _Submission, outcome: PieceOutcome) -> None:
+        submission.missing.discard(outcome.number)
         if not submission.missing:
             self._submissions.remove(submission)
-        if done.handle:
+        if outcome.handle:
             service = self._route.stages[submission.stage].service
             results = self._results_by_stage.setdefault(submission.stage, {})
-            results[done.number] = done.handle
+            results[outcome.number] = outcome.handle
             expires_at = now() + self._ttl_seconds(service)
             self._expires_at_by_stage.setdefault(submission.stage, expires_at)
-            self._location_by_handle[done.handle] = _ResultLocation(
+            self._location_by_handle[outcome.handle] = _ResultLocation(
                 submission.owner, service, submission.scope
             )
 
@@ -401,12 +431,13 @@
                 return submission
         return None
 
-    def _release_duplicate(self, stage: int, done: PieceOutcome) -> None:
+    def _release_duplicate(self, stage: int, outcome: PieceOutcome) -> None:
         results = self._results_by_stage.get(stage, {})
-        if not done.handle or done.handle in results.values():
+        if not outcome.handle or outcome.handle in results.values():
             return
-        # Made a second time, after its first owner had fallen silent.
-        release = Release(self._route.stages[stage].service, [done.handle])
+        # The piece was run twice, because its first owner stopped responding. Which
+        # owner holds this result is not known, so all of them are asked to release it.
+        release = Release(self._route.stages[stage].service, [outcome.handle])
         for owner in self._owners:
             self._exchange.send(owner, release)
 
@@ -438,9 +469,9 @@
         )
         self._start_round()
         if reason is PieceFailure.GONE:
-            # So are the inputs of its other pieces that still wait.
+            # The inputs of the stage's other outstanding pieces are gone as well.
             self._submissions = [
-                o for o in self._submissions if o.stage != submission.stage
+                other for other in self._submissions if other.stage != submission.stage
             ]
             self._discard_inputs(submission.stage)
         elif self._has_released_inputs(submission.stage):
@@ -459,14 +490,17 @@
         )
 
     def _discard_inputs(self, stage: int) -> None:
-        """Have the stages before a stage done anew, as far back as it takes.
+        """Discard the inputs of a stage, so that its predecessors are run again.
 
-        A result went with its maker, or was given up once it had been fetched. A stage
-        whose own inputs were given up can't be done anew either; sent with their old
-        handles, its pieces would take a call at each stage only to learn that.
+        Inputs are lost with the target that held them, or were released once they had
+        been fetched. A predecessor whose own inputs were released can't be run again
+        without them either, so this goes back as far as necessary; submitted with the
+        old handles, the pieces would use up a call at each stage only to fail.
         """
         for number in self._plan.predecessors(stage):
-            self._submissions = [o for o in self._submissions if o.stage != number]
+            self._submissions = [
+                other for other in self._submissions if other.stage != number
+            ]
             if self._has_released_inputs(number):
                 self._discard_inputs(number)
             handles = self._results_by_stage.pop(number, {}).values()
@@ -474,7 +508,7 @@
             self._release_handles(list(handles))
 
     def _release_fetched(self) -> None:
-        """Give up results that all their followers have fetched."""
+        """Release the results that all dependent stages have fetched."""
         for stage in self._plan.needed:
             followers = self._plan.followers(stage)
             if followers and all(self._has_fetched(s) for s in followers):
@@ -483,8 +517,8 @@
 
     def _has_fetched(self, stage: int) -> bool:
         results = set(self._results_by_stage.get(stage, ()))
-        started = self._fetched_by_stage.get(stage, set())
-        return len(results | started) >= self._plan.pieces[stage]
+        fetched = self._fetched_by_stage.get(stage, set())
+        return len(results | fetched) >= self._plan.pieces[stage]
 
     def _release_handles(self, handles: list[str]) -> None:
         by_location: dict[_ResultLocation, list[str]] = {}
