--- a/packages/serving/bergamotsaddle_serving/attempt.py
+++ b/packages/serving/bergamotsaddle_serving/attempt.py
@@ -1,4 +1,4 @@
-"""One request sent to one target."""
+"""Sends one request to one target and reads its response."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,16 +17,17 @@
 
 _MISDIRECTED = 421
 _SUCCESS = range(200, 300)
-# Statuses that promise callers that nothing has run; a target's own may not.
+# Statuses that tell callers that their request has not run. A target's response with
+# one of them does not guarantee that, so it is never forwarded as it is.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class NotRunError(BergamotsaddleError):
-    """The target did not run the request, by its own word or since nothing left.
+    """The target did not run the request: it said so, or nothing was sent.
 
     Args:
         reason: One word for logs.
-        status: The target's status, 0 if it got nothing.
+        status: HTTP status of the target, 0 if nothing was sent to it.
     """
 
     def __init__(self, reason: str, status: int = 0) -> None:
@@ -36,7 +37,7 @@
 
 
 class OutcomeUnknownError(BergamotsaddleError):
-    """The target may have run the request, and no whole answer came.
+    """The target may have run the request, but sent no complete response.
 
     Args:
         reason: One word for logs.
@@ -48,28 +49,36 @@
 
 
 class Response(NamedTuple):
-    """The head of a target's answer to this very request."""
+    """Head of a target's response.
+
+    Attributes:
+        head: Status and headers as received.
+        decoded: What the platform's headers say.
+    """
 
     head: RawResponseHead
     decoded: ResponseHead
 
     @property
     def is_success(self) -> bool:
-        """Whether its status is a success."""
+        """Whether the status is a success."""
         return self.head.status in _SUCCESS
 
 
 class Attempt:
-    """One request at one target, from sending to the end of the answer.
+    """One request at one target, from sending it to the end of the response.
 
-    Use it as a context manager: leaving it closes a connection that was not read to its
-    end, upon which the target drops the request.
+    Use it as a context manager. Leaving it closes the connection unless the response
+    was read to its end, and the target then drops the request.
 
     Args:
         context: The request.
-        state: The target.
-        pool: Connections.
-        dialect: Makes its headers.
+        state: State of the target.
+        pool: Connections to targets.
+        dialect: Makes and decodes headers.
+
+    Attributes:
+        started_at: When the attempt was made, on the hub's clock.
     """
 
     def __init__(
@@ -101,23 +110,23 @@
         dispatch: Dispatch,
         *,
         limit: float,
-        most: float | None = None,
+        max_wait: float | None = None,
         on_sent: Callable[[int], None] | None = None,
     ) -> Response:
-        """Send the request and wait for the head of the answer.
+        """Send the request and wait for the head of the response.
 
         Args:
-            dispatch: What the target is told.
+            dispatch: Parameters of the request for the target.
             limit: Seconds after which a silent target counts as lost.
-            most: Seconds to wait for one that goes on answering other requests; a
-                busy engine reads other prompts first, and leaving it then would only
-                have the work done twice. The same as the limit if left out.
-            on_sent: Called with the size of the request once it was handed to the
+            max_wait: Seconds to wait for a target that keeps responding to other
+                requests. A busy engine reads other prompts first, and abandoning it
+                would only have the work done twice. Defaults to ``limit``.
+            on_sent: Called with the size of the request once it has been handed to the
                 connection.
 
         Raises:
-            NotRunError: If the target did not run it.
-            UnknownRunError: If it may have.
+            NotRunError: If the target did not run the request.
+            OutcomeUnknownError: If the target may have run the request.
         """
         context = self._context
         body = context.body
@@ -134,16 +143,16 @@
             size = connection.send(call, limit=limit)
             if on_sent is not None:
                 on_sent(size)
-            head = self._read_head(connection, limit, most or limit)
+            head = self._read_head(connection, limit, max_wait or limit)
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError(error.reason) from error
         return self._check_head(head)
 
     def _read_head(
-        self, connection: Connection, limit: float, most: float
+        self, connection: Connection, limit: float, max_wait: float
     ) -> RawResponseHead:
-        deadline_at = now() + most
+        deadline_at = now() + max_wait
         while True:
             waiting_since = now()
             try:
@@ -155,14 +164,18 @@
                 if error.reason != "silent" or not is_busy or now() >= deadline_at:
                     raise
 
-    def read_body(self, *, limit: float, most: int) -> bytes:
-        """Read the whole body.
+    def read_body(self, *, limit: float, max_bytes: int) -> bytes:
+        """Read the complete body.
+
+        Args:
+            limit: Seconds after which the target counts as lost.
+            max_bytes: Size that the body may have.
 
         Raises:
-            UnknownRunError: If it is not whole.
+            OutcomeUnknownError: If the body is incomplete.
         """
         try:
-            body = self._connection.read_body(limit=limit, max_bytes=most)
+            body = self._connection.read_body(limit=limit, max_bytes=max_bytes)
         except ConnectionLostError as error:
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError(error.reason) from error
@@ -170,10 +183,16 @@
         return body
 
     def read_some(self, *, limit: float) -> bytes | None:
-        """Read the next part of the body, None at its proper end.
+        """Read the next chunk of the body.
+
+        Args:
+            limit: Seconds after which a silent target counts as lost.
+
+        Returns:
+            The chunk, None at the end of a complete body.
 
         Raises:
-            UnknownRunError: If the body broke off or nothing came in time.
+            OutcomeUnknownError: If the body broke off or nothing arrived in time.
         """
         try:
             data = self._connection.read_some(limit=limit)
@@ -195,14 +214,15 @@
             self._drain()
             raise NotRunError("refused", head.status)
         if decoded.request_id and decoded.request_id != self._context.head.id:
-            # A late answer to an earlier request: this one's may still come, but
-            # which bytes are whose can't be told any more on this connection.
+            # A late response to an earlier request. The one to this request may still
+            # come, but the two can't be told apart any more on this connection.
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError("crossed")
         if decoded.is_encoded or (head.status in _SUCCESS and not decoded.is_signed):
             self._state.record_failure(is_certain=False)
             raise OutcomeUnknownError("unsigned")
-        # A refusal may leave the limit out; only an answer that ran ends it.
+        # A refusal may leave out the limit. Only the response to a request that has run
+        # ends it.
         self._state.record_limit(decoded.limit)
         return Response(head, decoded)
 
@@ -210,7 +230,7 @@
         try:
             self._connection.read_body(limit=0.1, max_bytes=65_536)
         except ConnectionLostError:
-            # The refusal's body is of no use; only the connection is lost with it.
+            # The body of a refusal is not needed; only the connection can't be reused.
             return
         self._return_connection()
 
--- a/packages/serving/bergamotsaddle_serving/context.py
+++ b/packages/serving/bergamotsaddle_serving/context.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is served."""
+"""A caller's request while it is served."""
 
 from typing import NamedTuple
 
@@ -9,10 +9,10 @@
 
 
 class Progress:
-    """How far a request has come.
+    """Progress of a request.
 
     Attributes:
-        is_sent: Whether any byte of it has left for a target that might run it.
+        is_sent: Whether any byte of it was sent to a target that might run it.
     """
 
     def __init__(self) -> None:
@@ -20,20 +20,20 @@
 
 
 class Context(NamedTuple):
-    """What is known of a request before any work for it.
+    """What is known about a request before any work is done for it.
 
     Attributes:
-        head: Its decoded head.
-        body: Its whole body.
-        route: Its route.
-        service: The service that is to run it.
-        team: Its team, None on public routes.
-        began_at: When it came, on the hub's clock.
-        ends_at: When its caller or its route gives it up.
-        version: Version of the configuration that it is served by.
-        urgency: Its place among all kinds of requests, 0 first.
-        progress: How far it has come.
-        work: Its fingerprint, the same each time that it is asked for.
+        head: Decoded head of the request.
+        body: Complete body.
+        route: Route of the request.
+        service: Service that is to run it.
+        team: Team of the caller, None on public routes.
+        started_at: When its first byte was read, on the hub's clock.
+        deadline_at: When the caller or the route gives up, on the hub's clock.
+        version: Version of the configuration that serves it.
+        urgency: Rank among all kinds of requests, 0 first.
+        progress: Progress of the request.
+        fingerprint: Identifies the work; the same for each repetition of a request.
     """
 
     head: RequestHead
@@ -50,21 +50,21 @@
 
     @property
     def first_event_by(self) -> float:
-        """When the caller gives up for want of a first event, on the hub's clock."""
+        """When the caller gives up waiting for a first event, on the hub's clock."""
         return min(self.deadline_at, self.started_at + self.route.max_wait)
 
     @property
     def remaining(self) -> float:
-        """Seconds that are left."""
+        """Seconds until the deadline."""
         return self.deadline_at - now()
 
     def abort_error(self, kind: ErrorKind, detail: str) -> RequestError:
-        """Make the error for a request that ends wherever it is.
+        """Make the error for a request that is aborted at any point.
 
-        It says "not run" only if nothing of the request has left.
+        It says "not run" only if nothing of the request has been sent.
 
         Args:
-            kind: What to answer if a target may have run it.
+            kind: Kind of the error if a target may have run the request.
             detail: One sentence for the caller.
         """
         if self.progress.is_sent:
@@ -72,12 +72,18 @@
         return self.rejection_error(ErrorKind.NOT_RUN, detail)
 
     def quarantine_error(self) -> RequestError:
-        """Make the error for a request that ends its targets."""
+        """Make the error for a request that crashes its targets."""
         detail = "targets ended each time that they ran it"
         return self.rejection_error(ErrorKind.HELD_BACK, detail)
 
     def rejection_error(
         self, kind: ErrorKind, detail: str, *, retry_after: float | None = None
     ) -> RequestError:
-        """Make the error for a request that has not run and never will."""
+        """Make the error for a request that has not run and will not run.
+
+        Args:
+            kind: Kind of the error.
+            detail: One sentence for the caller.
+            retry_after: Seconds after which the caller may retry, None to leave it out.
+        """
         return RequestError(kind, detail, ran=Ran.NO, retry_after=retry_after)
--- a/packages/serving/bergamotsaddle_serving/events.py
+++ b/packages/serving/bergamotsaddle_serving/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream into whole events, so that none is passed on in part or twice."""
+"""Splits a stream into complete events, so that none is relayed in part or twice."""
 
 import re
 from typing import NamedTuple
@@ -8,11 +8,11 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        data: Its bytes, unchanged, with the empty line that ends it.
-        id: Its number, None if it has none.
+        data: Unchanged bytes, with the empty line that ends the event.
+        id: Number of the event, None if it has none.
     """
 
     data: bytes
@@ -20,16 +20,19 @@
 
 
 class EventSplitter:
-    """Takes bytes as they come and gives whole events."""
+    """Splits bytes into complete events as they arrive."""
 
     def __init__(self) -> None:
         self._remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes.
+        """Add received bytes.
+
+        Args:
+            data: Bytes of any length.
 
         Returns:
-            The events that they complete.
+            The events that the bytes complete.
         """
         self._remainder += data
         events = []
@@ -42,5 +45,5 @@
 
     @property
     def remainder(self) -> bytes:
-        """Bytes of an event that has not ended."""
+        """Bytes of an event that is not complete yet."""
         return self._remainder
--- a/packages/serving/bergamotsaddle_serving/fetching.py
+++ b/packages/serving/bergamotsaddle_serving/fetching.py
@@ -1,40 +1,40 @@
-"""When a target has surely fetched the results that it was told to use."""
+"""Estimates when a target has fetched the results that it uses as inputs."""
 
 from typing import NamedTuple
 
 # Two trips between zones and the target's own work, several times over. A target
-# fetches inputs as soon as it begins, and tells of it only when it has ended. Results
-# that are given up only then keep scarce room for as long as the next piece of work
-# takes, and other requests wait for that room.
+# fetches its inputs as soon as it starts, but reports that only once it has finished.
+# Results that are released only then hold scarce memory for the duration of the call,
+# and other requests wait for that memory.
 _FETCH_OVERHEAD_S = 0.02
-# Between targets, with several transfers at once.
+# Bandwidth between targets, with several concurrent transfers.
 _BYTES_PER_S = 800e6
-# The part of this machine's link that one request gets while others use it as well.
+# Fraction of this machine's link that one of several concurrent requests gets.
 _LINK_FRACTION = 0.2
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1e6
 
 
 class FetchTimes(NamedTuple):
-    """Times until targets have fetched inputs.
+    """Estimates the time until a target has fetched its inputs.
 
     Attributes:
-        link_mbps: Bandwidth of this machine's link in megabits a second.
+        link_mbps: Bandwidth of this machine's link in megabits per second.
     """
 
     link_mbps: float = 1_000.0
 
     def seconds(self, size: int, sent_bytes: int) -> float:
-        """Seconds from the sending of a request until its inputs have been fetched.
+        """Return the seconds from sending a request until its inputs are fetched.
 
         Args:
-            size: Bytes of all inputs.
-            sent_bytes: Bytes of the request itself, which have to leave this machine
-                before the target begins.
+            size: Size of all inputs in bytes.
+            sent_bytes: Size of the request itself, which has to leave this machine
+                before the target starts.
         """
         bandwidth = _LINK_FRACTION * self.link_mbps * _BITS_PER_MEGABIT / _BITS_PER_BYTE
         return _FETCH_OVERHEAD_S + size / _BYTES_PER_S + sent_bytes / bandwidth
 
 
-# Of a machine whose link is no limit.
+# For a machine whose link is not a bottleneck.
 DEFAULT_FETCH_TIMES = FetchTimes()
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -1,4 +1,4 @@
-"""Serves callers' requests: what each is, whether it may run, and how it ended."""
+"""Serves callers' requests: routes, authenticates, runs and logs each of them."""
 
 import random
 from typing import Any
@@ -46,21 +46,22 @@
         ErrorKind.TOO_SLOW,
     )
 )
+# Largest part of the remaining time that callers are asked to wait before a retry.
 _MAX_RETRY_AFTER_FRACTION = 1 / 3
 _COMPLETE = "whole"
 _CALLER_LEFT = "caller_left"
 
 
 class _OutOfTimeError(BergamotsaddleError):
-    """The request's time is up."""
+    """The deadline of the request has passed."""
 
 
 class _StoppingError(BergamotsaddleError):
-    """This instance is about to end."""
+    """This instance is about to stop."""
 
 
 class ErrorResponse(msgspec.Struct):
-    """What a caller is told instead of an answer."""
+    """Body of the response to a request that failed."""
 
     kind: str
     ran: str
@@ -68,18 +69,23 @@
 
 
 class Handler:
-    """Serves one request after the other of each caller's connection.
+    """Serves the requests of callers' connections, one after the other on each.
 
     Args:
-        view: What is in force.
-        plain: Serves plain services.
-        streams: Serves engines.
-        budget: Counts requests.
+        view: Current configuration and targets.
+        plain: Serves requests with a single response.
+        streams: Serves streaming requests.
+        budget: Limits retries; counts requests for that.
         dialect: Decodes heads.
         metrics: Counts outcomes.
-        logger: Gets a line for each request.
-        policy: Which mechanisms are in force.
-        suspects: Knows requests that end their targets.
+        logger: Logs each request.
+        policy: Enabled mechanisms.
+        suspects: Requests that are suspected of crashing their targets.
+
+    Attributes:
+        connections: Open connections of callers.
+        active: Number of requests that are being served.
+        served: Number of requests so far.
     """
 
     def __init__(
@@ -110,27 +116,28 @@
         self._workers: set[greenlet] = set()
 
     def abort_all(self) -> None:
-        """End every request that still runs, each with an answer that is true.
+        """Abort all running requests, each with a response that is true.
 
-        The process is about to be killed; a caller whose connection only closes does
-        not know whether its request has run, and one that may not repeat it is stuck.
+        The process is about to be killed. A caller whose connection is merely closed
+        does not know whether its request has run, and can't go on if it must not
+        repeat it.
         """
         for worker in list(self._workers):
             eventlet.kill(worker, _StoppingError("stopping"))
 
     def limits(self) -> CallerLimits:
-        """The limits on callers in force."""
+        """Return the current limits on callers."""
         configuration = self._view.configuration
         return configuration.limits if configuration else CallerLimits()
 
     def run(self, caller: CallerConnection) -> None:
-        """Serve a connection until it ends."""
+        """Serve a connection until it is closed."""
         self.connections.add(caller)
         try:
             while self._serve_next(caller):
                 continue
         except CallerLeftError:
-            # It left in the middle of sending a request, which has not run.
+            # The caller left while it was sending a request, which has not run.
             caller.must_close = True
         finally:
             self.connections.discard(caller)
@@ -172,7 +179,7 @@
             outcome = _CALLER_LEFT
             caller.reset()
         except Exception:
-            # An error nobody thought of must not leave the caller without an end.
+            # An unexpected error must not leave the caller without a response.
             outcome = ErrorKind.INTERNAL
             self._logger.exception("request_error", request=request_id)
             detail = "internal error"
@@ -268,7 +275,8 @@
         context: Context | None,
     ) -> None:
         if caller.has_started:
-            # Its head says success; only a break tells the caller that it isn't whole.
+            # The head that was sent says success. Only a reset connection tells the
+            # caller that the response is incomplete.
             caller.reset()
             return
         if error.retry_after is not None and context is not None:
@@ -290,7 +298,7 @@
         try:
             caller.respond(error.status, headers, body)
         except CallerLeftError:
-            # There is nobody to tell any more; the request's own line says the rest.
+            # The caller is gone. The outcome of the request is logged all the same.
             caller.reset()
 
     def _record_outcome(
--- a/packages/serving/bergamotsaddle_serving/plain.py
+++ b/packages/serving/bergamotsaddle_serving/plain.py
@@ -1,4 +1,4 @@
-"""Serves requests for plain services: whole answers, repeated only where allowed."""
+"""Serves requests for plain services: complete responses, retried where allowed."""
 
 from typing import Any
 
@@ -20,16 +20,22 @@
 
 _MAX_RESPONSE_BYTES = 64_000_000
 _SERVER_ERROR = 500
-# A target that takes this many times the usual time has lost the request, or is slow
-# enough for another one to answer earlier.
+# A target that takes this many times its usual time has lost the request, or is so slow
+# that another one is expected to respond earlier.
 _SLOW_FACTOR = 5.0
 _MIN_TIMEOUT_S = 0.3
-# Targets tried for a request that none of them ran.
+# Refusals after which a request that no target ran is rejected.
 _MAX_REFUSALS = 3
 
 
 class CompleteResponse:
-    """A target's whole answer, ready to be passed on."""
+    """A target's complete response, ready to be forwarded.
+
+    Args:
+        status: HTTP status.
+        headers: End-to-end headers.
+        body: Complete body.
+    """
 
     def __init__(self, status: int, headers: RawHeaders, body: bytes) -> None:
         self.status = status
@@ -38,15 +44,15 @@
 
 
 class PlainServer:
-    """Serves requests that have one whole answer.
+    """Serves requests that have a single, complete response.
 
     Args:
-        selector: Finds targets.
-        pool: Connections to them.
-        budget: Limits repeats.
+        selector: Selects targets.
+        pool: Connections to targets.
+        budget: Limits retries.
         dialect: Makes headers.
-        logger: Gets a line for each attempt that didn't answer.
-        ends: Finds out whether a target has ended, and under which requests.
+        logger: Logs failed attempts.
+        crashes: Detects crashed targets and the requests that they were running.
     """
 
     def __init__(
@@ -68,40 +74,40 @@
         self._logger = logger
 
     def serve(self, context: Context) -> CompleteResponse:
-        """Get the answer to a request.
+        """Return the response to a request.
 
         Raises:
-            RequestError: If there is none; it says whether the request has run.
+            RequestError: If there is none; it says whether the request may have run.
         """
         tried: set[str] = set()
         denied: set[str] = set()
         failure: CompleteResponse | None = None
-        ran = 0
+        runs = 0
         refusals = 0
         while True:
             candidate = self._next_candidate(context, tried, denied)
             if candidate is None:
-                return self._finish_failed(context, failure, ran)
+                return self._finish_failed(context, failure, runs)
             tried.add(candidate.target.id)
-            can_repeat = context.route.may_repeat and ran + 1 < context.route.attempts
+            can_repeat = context.route.may_repeat and runs + 1 < context.route.attempts
             try:
                 response = self._try(context, candidate, can_repeat=can_repeat)
             except NotRunError as error:
                 self._log_failed_attempt(context, candidate, error.reason, "no")
                 refusals += 1
                 if refusals >= _MAX_REFUSALS:
-                    return self._finish_failed(context, failure, ran)
+                    return self._finish_failed(context, failure, runs)
                 continue
             except OutcomeUnknownError as error:
                 self._log_failed_attempt(context, candidate, error.reason, "unknown")
-                ran += 1
+                runs += 1
                 self._crashes.record_failure(
                     candidate.target, [context.fingerprint], error.reason
                 )
                 if not can_repeat or self._suspects.is_quarantined(context.fingerprint):
-                    return self._finish_failed(context, failure, ran)
+                    return self._finish_failed(context, failure, runs)
                 continue
-            ran += 1
+            runs += 1
             self._suspects.record_success(candidate.target, context.fingerprint)
             if response.status < _SERVER_ERROR or not can_repeat:
                 return response
@@ -110,12 +116,12 @@
     def _next_candidate(
         self, context: Context, tried: set[str], denied: set[str]
     ) -> Candidate | None:
-        """The target to try next, None if there is none.
+        """Return the target to try next, None if there is none.
 
         Args:
             context: The request.
-            tried: Targets that it was sent to.
-            denied: Targets that had no permit to give; more are added.
+            tried: Ids of targets that the request was sent to.
+            denied: Ids of targets that had no permit left; further ones are added.
         """
         if context.remaining <= 0:
             return None
@@ -149,7 +155,7 @@
         with Attempt(context, state, self._pool, self._dialect) as attempt:
             dispatch = Dispatch(candidate.target, context.remaining, context.team)
             response = attempt.send(dispatch, limit=limit)
-            body = attempt.read_body(limit=limit, most=_MAX_RESPONSE_BYTES)
+            body = attempt.read_body(limit=limit, max_bytes=_MAX_RESPONSE_BYTES)
             if response.head.status in NOT_RUN_STATUSES:
                 raise OutcomeUnknownError(f"status {response.head.status}")
             state.record_success(now() - attempt.started_at)
@@ -157,11 +163,11 @@
         return CompleteResponse(response.head.status, headers, body)
 
     def _finish_failed(
-        self, context: Context, failure: CompleteResponse | None, ran: int
+        self, context: Context, failure: CompleteResponse | None, runs: int
     ) -> CompleteResponse:
         if failure is not None:
             return failure
-        if not ran:
+        if not runs:
             wait = self._selector.permit_wait(context.service.name)
             raise context.rejection_error(
                 ErrorKind.NO_TARGET,
--- a/packages/serving/bergamotsaddle_serving/stage_calls.py
+++ b/packages/serving/bergamotsaddle_serving/stage_calls.py
@@ -1,4 +1,4 @@
-"""The calls that an owner of a stage queue makes to targets."""
+"""Calls from the owner of a stage queue to its targets."""
 
 from collections.abc import Sequence
 
@@ -14,20 +14,20 @@
 _OK = 200
 _MISDIRECTED = 421
 _MAX_BODY_BYTES = 1_000_000
-# Calls that need no turn at the target are answered within a few ms.
+# Calls that need no slot at the target are answered within a few ms.
 _RELEASE_TIMEOUT_S = 0.5
 _QUERY_TIMEOUT_S = 0.3
 
 
 class StageCalls:
-    """Calls to stage targets.
+    """Makes calls to stage targets.
 
     Args:
-        view: Tells whether a target may still get work.
+        view: Determines whether a target may still get work.
         pool: Connections to targets.
-        dialect: Makes and reads the calls.
-        limits: Get what answers say.
-        rates: Keep the calls within the limits.
+        dialect: Encodes calls and decodes responses.
+        limits: Records the limits that responses name.
+        rates: Keeps the calls within these limits.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
     def run(
         self, target: Target, batch: Sequence[QueuedPiece], limit: float
     ) -> list[PieceResult] | None:
-        """Have a target work on pieces.
+        """Run pieces at a target.
 
         Args:
             target: The target.
@@ -55,12 +55,12 @@
             limit: Seconds after which the call counts as lost.
 
         Returns:
-            A result for each piece, None if the target was full or had no permit
-            to give.
+            A result for each piece, None if the target was full or no permit for it
+            was available.
 
         Raises:
-            ConnectionLostError: If the target may not get work, or broke off.
-            ValueError: If it sent no such answer.
+            ConnectionLostError: If the target may not get work or broke off.
+            ValueError: If the response is invalid.
         """
         if not self._view.may_get_work(target):
             raise ConnectionLostError("left", is_unsent=True)
@@ -83,21 +83,21 @@
         return results
 
     def query_free_memory(self, target: Target) -> float:
-        """Ask a target how many bytes it has free at most.
+        """Return how many bytes of memory a target has free at most.
 
         Raises:
-            ConnectionLostError: If it did not answer.
-            ValueError: If it sent no such answer.
+            ConnectionLostError: If the target did not respond.
+            ValueError: If the response is invalid.
         """
         call = self._dialect.query_free_memory(target)
         _, body = self._exchange(target, call, _QUERY_TIMEOUT_S)
         return self._dialect.read_free_memory(body)
 
     def release(self, target: Target, handles: Sequence[str]) -> None:
-        """Give up results.
+        """Release results at a target.
 
         Raises:
-            ConnectionLostError: If the target did not answer.
+            ConnectionLostError: If the target did not respond.
         """
         call = self._dialect.release_results(handles, target)
         self._exchange(target, call, _RELEASE_TIMEOUT_S)
--- a/packages/serving/bergamotsaddle_serving/stage_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/stage_exchange.py
@@ -1,4 +1,4 @@
-"""Carries pieces and results between requests and the owners of stage queues."""
+"""Exchanges messages between requests and the owners of stage queues."""
 
 from collections import deque
 from typing import NamedTuple
@@ -19,12 +19,20 @@
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.stage_owner import StageOwner
 
-# An owner that dies is noticed within a second; what it was sent before that is kept.
-_RELEASE_MEMORY_S = 1.5
+# How long sent releases are kept, to be sent again to another owner if theirs has died.
+# A dead owner is noticed within a second.
+_RESEND_RELEASES_S = 1.5
 
 
 class _SentRelease(NamedTuple):
-    """A release whose owner may have died before it arrived."""
+    """A release that is lost if its owner died before it arrived.
+
+    Attributes:
+        sent_at: When it was sent, on the hub's clock.
+        owner: Owner that it was sent to.
+        scope: Zone or region of the queue.
+        message: The release.
+    """
 
     sent_at: float
     owner: str
@@ -33,11 +41,14 @@
 
 
 class StageExchange:
-    """Carries messages between the requests of this instance and the owners.
+    """Exchanges messages between the requests of this instance and queue owners.
 
     Args:
         peers: The other instances.
-        owner: The queues of this instance itself.
+        owner: The queues that this instance itself owns.
+
+    Attributes:
+        peers: The other instances.
     """
 
     def __init__(self, peers: Peers, owner: StageOwner) -> None:
@@ -58,21 +69,21 @@
         return self._inbox_by_request.setdefault(request, LightQueue())
 
     def close_inbox(self, request: str) -> None:
-        """Close it."""
+        """Close the inbox of a request."""
         self._inbox_by_request.pop(request, None)
 
     def deliver(self, message: Accepted | Started | Results) -> None:
-        """Hand a message to the request that waits for it.
+        """Put a message into the inbox of its request.
 
-        Results for a request that has ended are given up by its cancellation, which
-        the owner gets after them.
+        Messages for a request that has ended are dropped. Its results are released by
+        its cancellation, which reaches the owner after it has sent them.
         """
         inbox = self._inbox_by_request.get(message.request)
         if inbox is not None:
             inbox.put(message)
 
     def current_owner(self, owner: str, service: str, scope: str) -> str:
-        """The owner itself while it lives, else the one in its place."""
+        """Return the owner itself while it is alive, else its replacement."""
         if owner == self.peers.own.id or self.peers.is_alive(owner):
             return owner
         return next(iter(rank_owners(self.peers, service, scope)), owner)
@@ -89,12 +100,12 @@
             self._owner.release(message)
 
     def release(self, owner: str, scope: str, message: Release) -> None:
-        """Give results up through the owner of their queue, or its successor.
+        """Release results through the owner of their queue, or its replacement.
 
         Args:
-            owner: The owner that had them made.
+            owner: Owner that reported the results.
             scope: Zone or region of the queue.
-            message: The results.
+            message: The results to release.
         """
         owner = self.current_owner(owner, message.service, scope)
         self.send(owner, message)
@@ -102,23 +113,23 @@
             self._sent_releases.append(_SentRelease(now(), owner, scope, message))
 
     def resend_releases(self) -> None:
-        """Send releases again whose owner fell silent just after they were sent.
+        """Resend releases whose owner died shortly after they were sent.
 
-        Until an owner's death is noticed, what it is sent is lost; the results would
-        hold their room for seconds until they expire. After the death of an owner of a
-        full queue two calls in three met full targets for four seconds.
+        Messages to a dead owner are lost until its death is noticed, and the results
+        would hold memory for seconds until they expire. After the owner of a full
+        queue died, two calls in three found full targets for four seconds.
         """
         sent_releases, self._sent_releases = self._sent_releases, deque()
         for sent in sent_releases:
             if not self.peers.is_alive(sent.owner):
                 self.release(sent.owner, sent.scope, sent.message)
-            elif now() - sent.sent_at < _RELEASE_MEMORY_S:
+            elif now() - sent.sent_at < _RESEND_RELEASES_S:
                 self._sent_releases.append(sent)
 
     def _handle_acknowledgement(
         self, message: Accepted, address: tuple[str, int]
     ) -> None:
-        """Note the load, which heartbeats of a large fleet tell seconds late."""
+        """Record the load; in a large fleet heartbeats report it seconds late."""
         owner = self.peers.id_of(address[0])
         if owner is not None:
             self.peers.record_load(owner, message.service, message.load)
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -1,4 +1,4 @@
-"""Serves requests for engines: stages first, then a stream of events."""
+"""Serves streaming requests: runs their stages, then relays an engine's events."""
 
 from collections import OrderedDict
 from typing import Any
@@ -47,37 +47,40 @@
 from bergamotsaddle_serving.urgency_distribution import UrgencyDistribution
 
 _MAX_RESPONSE_BYTES = 1_000_000
-# How long an engine is taken to know shared parts that it read for this instance.
+# How long an engine is assumed to cache the shared prefix of a prompt that it read for
+# this instance.
 _CACHED_PREFIX_TTL_S = 20.0
 _MAX_CACHED_PREFIXES = 20_000
-# An engine that sends nothing for this long in the middle of a stream, or several
-# times the longest pause that is on time, has lost it; callers give up at 2 s.
+# An engine that sends nothing in the middle of a stream for this long, or for several
+# times the longest pause that is on time, counts as lost. Callers give up after 2 s.
 _MIN_EVENT_TIMEOUT_S = 1.0
 _EVENT_TIMEOUT_GAPS = 3.0
-# The same before the first event: reading a long prompt takes an engine up to a second
-# in which it sends nothing, and a dead one is noticed earlier by the kernel.
+# The same before the first event. It is longer because an engine sends nothing while it
+# reads a long prompt, which takes up to a second; a dead engine is noticed earlier by
+# the kernel.
 _MIN_FIRST_EVENT_TIMEOUT_S = 2.0
 _FIRST_EVENT_TIMEOUT_FACTOR = 6.0
 _MAX_REFUSALS = 3
-# A permit is good for so long; those of a longer time would arrive together.
+# How long a permit is used after it was granted. Requests with permits gathered over a
+# longer time would arrive together.
 _PERMIT_LIFETIME_S = 1.5
 _CONFLICT = 409
 
 
 class StreamServer:
-    """Serves requests that engines answer with streams.
+    """Serves requests to which engines respond with streams.
 
     Args:
-        selector: Finds engines.
+        selector: Selects engines.
         waits: Expected times of stages.
-        exchange: Carries pieces to the owners of stage queues.
+        exchange: Sends pieces to the owners of stage queues.
         pool: Connections to engines.
-        budget: Limits repeats.
+        budget: Limits retries.
         dialect: Makes headers.
-        logger: Gets a line for each decision.
-        policy: Which mechanisms are in force.
-        fetch_times: Tells when engines have fetched their inputs.
-        ends: Finds out whether an engine has ended, and under which requests.
+        logger: Logs decisions and failures.
+        policy: Enabled mechanisms.
+        fetch_times: Estimates when engines have fetched their inputs.
+        crashes: Detects crashed engines and the requests that they were running.
     """
 
     def __init__(
@@ -109,10 +112,14 @@
         self._cached_until: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def serve(self, context: Context, caller: CallerConnection) -> None:
-        """Serve a request to its end.
+        """Serve a request until its response is complete.
+
+        Args:
+            context: The request.
+            caller: Connection that receives the response.
 
         Raises:
-            RequestError: If nothing of the answer has been sent yet.
+            RequestError: If the request fails.
         """
         self.urgencies.record(context.urgency, now())
         run = _StreamRun(self, context, caller)
@@ -122,7 +129,15 @@
             run.release()
 
     def choose(self, context: Context, exclude: set[str]) -> EngineChoice | None:
-        """Choose an engine for a request; None if there is none."""
+        """Choose an engine for a request.
+
+        Args:
+            context: The request.
+            exclude: Ids of engines not to choose.
+
+        Returns:
+            The choice, None if there is no engine.
+        """
         candidates = self.selector.candidates(context.service.name, exclude)
         head = context.head
         key = prefix_key(head.prompt)
@@ -142,11 +157,17 @@
         )
 
     def stage_seconds(self, context: Context, zone: str) -> float:
-        """Expected seconds of all stages of a request, done in a zone."""
+        """Return the expected duration of all stages of a request in a zone."""
         return self.plan(context, zone, 0.0).total_seconds()
 
-    def plan(self, context: Context, zone: str, finish: float) -> StagePlan:
-        """Plan the stages of a request."""
+    def plan(self, context: Context, zone: str, finish_seconds: float) -> StagePlan:
+        """Plan the stages of a request.
+
+        Args:
+            context: The request.
+            zone: Zone in which the stages are to run.
+            finish_seconds: Expected seconds from the last stage to the first event.
+        """
         return StagePlan(
             context.route,
             context.head.pieces,
@@ -154,16 +175,16 @@
             self.waits.best_scope,
             urgency=context.urgency,
             started_at=context.started_at,
-            finish_seconds=finish,
+            finish_seconds=finish_seconds,
             policy=self.policy,
         )
 
     def candidate(self, context: Context, engine: EngineView) -> Candidate | None:
-        """The candidate with an engine's id."""
+        """Return the candidate with an engine's id, None if there is none now."""
         return self.selector.find(context.service.name, engine.id)
 
     def record_cached_prefix(self, target_id: str, context: Context) -> None:
-        """Note that an engine has read the shared parts of a prompt."""
+        """Record that an engine has read the shared prefix of a prompt."""
         key = (target_id, prefix_key(context.head.prompt))
         self._cached_until[key] = now() + _CACHED_PREFIX_TTL_S
         self._cached_until.move_to_end(key)
@@ -184,7 +205,13 @@
 
 
 class _StreamRun:
-    """One request on its way."""
+    """State of one streaming request while it is served.
+
+    Args:
+        server: The server that the request came to.
+        context: The request.
+        caller: Connection that receives the response.
+    """
 
     def __init__(
         self, server: StreamServer, context: Context, caller: CallerConnection
@@ -205,7 +232,7 @@
         self._refusals = 0
 
     def run(self) -> None:
-        """Serve the request."""
+        """Run the stages, then try engines until one has completed the stream."""
         choice = self._choose()
         self._admit(choice)
         while not self._reserve(choice):
@@ -220,7 +247,7 @@
             choice = self._choose()
 
     def release(self) -> None:
-        """Give up whatever the request still holds."""
+        """Release the results and pending pieces that the request still holds."""
         if self._release_timer is not None:
             self._release_timer.cancel()
             self._release_timer = None
@@ -235,10 +262,14 @@
         return choice
 
     def _reserve(self, choice: EngineChoice) -> bool:
-        """Get a permit if the engine needs any; else another engine is to be chosen.
+        """Acquire a permit for an engine, if it needs one.
 
-        Asked for before the stages are run, so that no work is done for a request that
-        no engine may get.
+        This comes before the stages are run, so that no work is done for a request
+        that no engine may receive.
+
+        Returns:
+            Whether the engine may be used. Otherwise it is excluded, and another one
+            is to be chosen.
         """
         context = self._context
         candidate = self._server.candidate(context, choice.engine)
@@ -252,7 +283,11 @@
         return False
 
     def _use_permit(self, choice: EngineChoice) -> bool:
-        """Use the permit for an engine up, or get one if it is for another or old."""
+        """Use the held permit, or acquire one if it is expired or for another engine.
+
+        Returns:
+            Whether the request may be sent to the engine.
+        """
         engine, until = self._permit
         self._permit = ("", 0.0)
         if engine == choice.engine.id and now() < until:
@@ -262,11 +297,14 @@
         return is_granted
 
     def _admit(self, choice: EngineChoice) -> None:
-        """Refuse a request that would not be done in time, before any stage runs.
+        """Reject a request that would not be done in time, before any stage runs.
+
+        This sheds the load of bursts that exceed the capacity of the stages. Work for
+        a request that ends without a response is lost to other requests, so a request
+        is not rejected any more once its stages have started.
 
-        Answers bursts beyond what the stages can do. Work for a request that ends
-        without an answer is taken from others; once its stages have begun it is
-        therefore finished.
+        Raises:
+            RequestError: If the request is rejected.
         """
         context = self._context
         plan = self._server.plan(context, choice.engine.zone, choice.finish_seconds)
@@ -332,7 +370,8 @@
             outcome = self._stages.run()
         except RequestError as error:
             if self._runs:
-                # The stages of a second try can't vouch for what the first one did.
+                # The error says that the request has not run, but an earlier attempt
+                # may have run it.
                 raise self._failure_error(error.detail) from error
             raise
         self._inputs = outcome.handles
@@ -346,7 +385,11 @@
         )
 
     def _try(self, choice: EngineChoice) -> bool:
-        """Send the request to an engine; False if another one is to be tried."""
+        """Send the request to an engine and relay its response.
+
+        Returns:
+            Whether a response was relayed. Otherwise another engine is to be tried.
+        """
         context = self._context
         candidate = self._server.candidate(context, choice.engine)
         if candidate is None or not self._server.selector.may_send(candidate):
@@ -379,7 +422,7 @@
         return True
 
     def _check_quarantine(self) -> None:
-        """End a request that has become known to end its targets."""
+        """Raise an error if the request has been quarantined in the meantime."""
         if not self._server.suspects.is_quarantined(self._context.fingerprint):
             return
         if self._runs:
@@ -407,7 +450,7 @@
                 response = attempt.send(
                     dispatch,
                     limit=limit,
-                    most=context.remaining,
+                    max_wait=context.remaining,
                     on_sent=self._release_when_fetched,
                 )
                 if not response.is_success:
@@ -469,11 +512,11 @@
         )
 
     def _release_when_fetched(self, sent_bytes: int) -> None:
-        """Give up the inputs once the engine has surely fetched them.
+        """Release the inputs once the engine has certainly fetched them.
 
-        An engine fetches them as soon as it gets the request, but its first event
-        comes only after the prompt was read, up to half a second later; stage targets
-        with room for a handful of results would stand still meanwhile.
+        An engine fetches its inputs as soon as it receives the request, but sends its
+        first event only after it has read the prompt, up to half a second later. Stage
+        targets with memory for a handful of results would be idle until then.
         """
         if not self._inputs:
             return
@@ -483,14 +526,16 @@
         self._release_timer = eventlet.spawn_after(delay, self._release_inputs)
 
     def _release_inputs(self) -> None:
-        # If the stream breaks off later they are made again, which is rare.
+        # If the stream breaks off later, which is rare, the stages are run again.
         if self._inputs:
             self._inputs = None
         self.release()
 
     def _forward_failure(self, attempt: Attempt, response: Response) -> None:
         status = response.head.status
-        body = attempt.read_body(limit=self._event_timeout(), most=_MAX_RESPONSE_BYTES)
+        body = attempt.read_body(
+            limit=self._event_timeout(), max_bytes=_MAX_RESPONSE_BYTES
+        )
         if status in NOT_RUN_STATUSES or self._has_started:
             raise OutcomeUnknownError(f"status {status}")
         if status >= 500 and self._may_run_again():
@@ -501,7 +546,7 @@
 
     def _handle_refusal(self, candidate: Candidate, error: NotRunError) -> None:
         if error.status == _CONFLICT:
-            # A result went with its maker before the engine had fetched it.
+            # A result was lost with its target before the engine had fetched it.
             self.release()
             self._inputs = None
         else:
--- a/packages/serving/bergamotsaddle_serving/usage.py
+++ b/packages/serving/bergamotsaddle_serving/usage.py
@@ -1,4 +1,4 @@
-"""What a daemon takes of its machine. No input or output here."""
+"""Measures the processor time and timer delays of a daemon, without any I/O."""
 
 import resource
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 
 
 class Usage(NamedTuple):
-    """The usage of one interval.
+    """Usage of one interval.
 
     Attributes:
-        cpu: Processor time as a part of one core.
-        delay: The longest time that a timer fired late, in seconds.
-        counts: How much each counter grew, by name.
+        cpu: Processor time as a fraction of one core.
+        delay: Longest delay of a timer, in seconds.
+        counts: Increase of each counter, by name.
     """
 
     cpu: float
@@ -24,18 +24,19 @@
 
 
 def processor_seconds() -> float:
-    """Processor time of this process, user's and system's."""
+    """Return the user and system processor time of this process."""
     spent = resource.getrusage(resource.RUSAGE_SELF)
     return spent.ru_utime + spent.ru_stime
 
 
 class UsageMeter:
-    """Measures the processor time of this process between two reports.
+    """Measures the usage of this process between two reports.
 
-    Late timers tell an overloaded daemon from one whose requests wait at targets.
+    Delayed timers distinguish an overloaded daemon from one whose requests wait at
+    targets.
 
     Args:
-        counters: Read the counters to report, by name.
+        counters: Functions that read the counters to report, by name.
         processor_seconds: Reads the processor time of this process.
     """
 
@@ -53,11 +54,11 @@
         self._delay = 0.0
 
     def record_delay(self, seconds: float) -> None:
-        """Note by how much a timer fired late."""
+        """Record by how many seconds a timer fired late."""
         self._delay = max(self._delay, seconds)
 
     def collect(self) -> Usage | None:
-        """The usage since the last report, None before the interval is over."""
+        """Return the usage since the last report, None before the interval is over."""
         elapsed = now() - self._started_at
         if elapsed < REPORT_INTERVAL_S:
             return None
