--- a/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -255,6 +255,13 @@
     def _requeue(
         self, queue: ServiceQueue, batch: list[QueuedPiece], reason: PieceFailure | None
     ) -> None:
+        """Queue the pieces of a failed call again, unless they failed too often.
+
+        Args:
+            queue: Queue of the pieces.
+            batch: The pieces of the call.
+            reason: Why the call failed, None if the target only refused it.
+        """
         for piece in batch:
             if piece.key.request in queue.cancelled:
                 continue
@@ -300,6 +307,7 @@
     def _schedule_started(
         self, queue: ServiceQueue, worker: Worker, batch: list[QueuedPiece]
     ) -> GreenThread | None:
+        """Schedule the report that a target has fetched the inputs of a call."""
         if worker.is_shared() or not self._policy.has(Mechanism.EARLY_RELEASE):
             return None
         delay = self._fetch_times.seconds(_input_bytes(batch), _call_bytes(batch))
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -271,6 +271,7 @@
         return bool(queue.available_workers())
 
     def _update_workers(self, queue: ServiceQueue) -> None:
+        """Make the workers of a queue match the targets that belong to it."""
         own = self._own_targets(queue.service)
         self._remove_workers(queue, {target.incarnation for target in own})
         for target in own:
@@ -343,6 +344,7 @@
     def _add_piece(
         self, queue: ServiceQueue, message: Submit, number: int
     ) -> PieceOutcome | None:
+        """Add a piece to its queue; return its outcome if that is known already."""
         key = PieceKey(message.request, message.stage, number, message.round)
         if key in queue.outcome_by_key:
             return queue.outcome_by_key[key]
@@ -382,6 +384,7 @@
         return local_zone, bytes_by_zone[local_zone]
 
     def _load(self, queue: ServiceQueue) -> list[float]:
+        """Return the load of a queue in the layout of ``loads``."""
         workers = queue.available_workers()
         until_free = max(0.0, min(w.free_at for w in workers) - now())
         slowdown = min(w.slowdown for w in workers)
--- a/packages/serving/bergamotsaddle_serving/stage_results.py
+++ b/packages/serving/bergamotsaddle_serving/stage_results.py
@@ -36,14 +36,14 @@
             queue: Queue of the pieces.
             finished: Finished pieces with their results.
         """
-        done_by_stage: dict[tuple[str, int, int], list[PieceOutcome]] = {}
+        outcomes_by_stage: dict[tuple[str, int, int], list[PieceOutcome]] = {}
         for key, result in finished:
-            done = PieceOutcome(key.number, result.handle, result.reason)
+            outcome = PieceOutcome(key.number, result.handle, result.reason)
             if result.handle:
-                queue.record_outcome(key, done)
+                queue.record_outcome(key, outcome)
             stage = (key.request, key.stage, key.round)
-            done_by_stage.setdefault(stage, []).append(done)
-        for (request, stage, round_number), group in done_by_stage.items():
+            outcomes_by_stage.setdefault(stage, []).append(outcome)
+        for (request, stage, round_number), group in outcomes_by_stage.items():
             self._send(queue, Results(request, stage, round_number, group))
 
     def finish_waiting(self, queue: ServiceQueue, reason: PieceFailure) -> None:
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -224,6 +224,7 @@
         return done >= self._plan.pieces[stage]
 
     def _submit_ready(self) -> None:
+        """Submit the stages whose inputs are complete, and repeat due submissions."""
         at = now()
         elapsed = self._plan.elapsed(at)
         for stage in self._plan.needed:
@@ -241,6 +242,7 @@
                 self._send(submission)
 
     def _unassigned(self, stage: int) -> list[int]:
+        """Return the pieces of a stage that have no result and are not submitted."""
         results = self._results_by_stage.get(stage, {})
         submitted = {
             number
@@ -266,6 +268,7 @@
             self._pending.add(service, scope, self._urgency, pieces)
 
     def _assign(self, stage: int) -> None:
+        """Choose queues for the unassigned pieces of a stage."""
         self._remove_pending(stage)
         self._started_at_by_stage.setdefault(stage, now())
         service = self._route.stages[stage].service
@@ -282,6 +285,7 @@
             )
 
     def _send(self, submission: _Submission) -> None:
+        """Send a submission, or abandon its owner if it does not respond."""
         at = now()
         remaining = self._deadline_at - at - self._plan.after_seconds(submission.stage)
         # A piece whose inputs have expired would use up a call only to fail.
@@ -384,6 +388,7 @@
         submission.next_at = now() + _REFRESH_S
 
     def _next_event(self) -> float:
+        """Return until when to wait for a message."""
         times = [submission.next_at for submission in self._submissions]
         if len(self._submissions) < len(self._plan.needed):
             times.append(now() + _ACK_LIMIT_S)
@@ -479,6 +484,7 @@
         eventlet.sleep(_RETRY_PAUSE_S * self._failures)
 
     def _start_round(self) -> None:
+        """Start a new round, which makes reports on fetched inputs obsolete."""
         self._round += 1
         self._fetched_by_stage.clear()
 
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -226,6 +226,7 @@
         self._last_id = context.head.last_event_id
         self._exclude: set[str] = set()
         self._has_started = False
+        # Id of an engine, and until when its permit is used.
         self._permit = ("", 0.0)
         self._was_sent = False
         self._runs = 0
@@ -479,6 +480,7 @@
                 state.prompt_tokens_ahead -= tokens
 
     def _prefill_tokens(self, choice: EngineChoice) -> int:
+        """Return how many prompt tokens the engine has to read."""
         head = self._context.head
         if choice.reason == "free":
             return head.prompt_tokens
@@ -564,6 +566,7 @@
         )
 
     def _check_resumable(self) -> None:
+        """Raise an error if the request must not be sent to another engine."""
         context = self._context
         if context.route.may_repeat and self._runs < context.route.attempts:
             return
@@ -578,6 +581,7 @@
         )
 
     def _first_event_timeout(self, choice: EngineChoice) -> float:
+        """Return after how many seconds without a first event an engine is lost."""
         context = self._context
         if not self._may_run_again():
             return context.remaining
@@ -588,6 +592,7 @@
         return min(context.remaining, limit)
 
     def _event_timeout(self) -> float:
+        """Return after how many seconds without an event an engine is lost."""
         context = self._context
         if not self._may_run_again():
             return context.remaining
