--- a/packages/serving/bergamotsaddle_serving/_stage_worker.py
+++ b/packages/serving/bergamotsaddle_serving/_stage_worker.py
@@ -1,4 +1,4 @@
-"""What an owner of a stage queue keeps of a service and of each of its targets."""
+"""State of a stage queue and of each target that works on it."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -17,141 +17,185 @@
 )
 from bergamotsaddle_serving.wait_errors import StageKey, WaitErrors
 
-_MAX_PACE = 6.0
-_PACE_WEIGHT = 0.3
-# A target that failed gets nothing for a time that doubles up to the longest.
-_FIRST_REST_S = 0.3
-_LONGEST_REST_S = 3.0
-# How long after a sign of other callers a target is taken to have some: an owner that
-# was replaced works off its queue for up to a few calls.
+# Upper bound on a single call's slowdown, and its weight in the moving average.
+_MAX_SLOWDOWN = 6.0
+_SLOWDOWN_WEIGHT = 0.3
+# A target that failed gets no calls for a time that doubles with each failure.
+_FIRST_BACKOFF_S = 0.3
+_MAX_BACKOFF_S = 3.0
+# How long a target counts as shared after a sign that another instance calls it: an
+# owner that was replaced may still make a few calls to finish its queue.
 _SHARED_S = 2.0
-# Requests whose senders, and results that, are remembered; a lost datagram is repeated
-# within a second, and a daemon begins some hundred pieces in it.
-KEPT = 5_000
+# Limit on remembered senders, outcomes and cancelled requests. A lost datagram is
+# repeated within a second, in which a daemon starts some hundred pieces.
+_MAX_REMEMBERED = 5_000
 
 
 class Worker:
-    """What this owner knows of one target."""
+    """What the queue owner knows about one target.
+
+    Args:
+        target: The target.
+        batching: Batching parameters of its service.
+
+    Attributes:
+        memory: Estimate of the memory that the target has free for results.
+        slowdown: Moving average of actual against expected call time.
+        free_at: When the running call is expected to end, or the last one ended.
+        wait_for_memory_until: Until when the next call may wait for memory.
+        exclusive_from: From when on no other instance is assumed to call the target.
+        failures: Consecutive failures.
+        backoff_until: Until when the target gets no calls after a failure.
+        to_release: Handles of results that are to be released.
+        release_requested: Set when handles are added to ``to_release``.
+    """
 
     def __init__(self, target: Target, batching: Batching) -> None:
         self.target = target
-        self.room = ResultMemory(batching.memory_bytes, batching.ttl_seconds)
-        self.pace = 1.0
+        self.memory = ResultMemory(batching.memory_bytes, batching.ttl_seconds)
+        self.slowdown = 1.0
         self.free_at = 0.0
-        self.full_call_by = 0.0
-        self.alone_from = now() + _SHARED_S
+        self.wait_for_memory_until = 0.0
+        self.exclusive_from = now() + _SHARED_S
         self.failures = 0
-        self.rest_until = 0.0
+        self.backoff_until = 0.0
         self.to_release: list[str] = []
-        self.has_release = Event()
+        self.release_requested = Event()
 
-    def note_shared(self) -> None:
-        """Note a sign that others call the target as well.
+    def record_sharing(self) -> None:
+        """Record a sign that another instance calls the target as well.
 
-        A call then waits at the target before it begins, and inputs that were given up
-        shortly after sending it would be gone by its turn. That happens around every
-        change of owners, when two of them call the same targets for a moment.
+        A call may then wait at the target before it starts. Inputs that were released
+        a fixed time after sending it would be gone by then. This happens around every
+        change of owners, when two of them call the same targets for a short time.
         """
-        self.alone_from = now() + _SHARED_S
+        self.exclusive_from = now() + _SHARED_S
 
     def is_shared(self) -> bool:
-        """Tell whether others may have called the target lately."""
-        return now() < self.alone_from
+        """Return whether another instance may have called the target recently."""
+        return now() < self.exclusive_from
 
-    def rest(self) -> None:
-        """Give it nothing for a while after a failure."""
-        pause = min(_LONGEST_REST_S, _FIRST_REST_S * 2.0**self.failures)
+    def back_off(self) -> None:
+        """Stop calls to the target for a while after a failure."""
+        pause = min(_MAX_BACKOFF_S, _FIRST_BACKOFF_S * 2.0**self.failures)
         self.failures += 1
-        self.rest_until = now() + pause
+        self.backoff_until = now() + pause
 
-    def learn(self, seconds: float, expected: float) -> None:
-        """Take the time of an answered call into account."""
+    def record_call_seconds(self, seconds: float, expected: float) -> None:
+        """Record the duration of a successful call.
+
+        Args:
+            seconds: Actual duration.
+            expected: Expected duration.
+        """
         self.failures = 0
-        ratio = min(_MAX_PACE, seconds / expected)
-        self.pace += _PACE_WEIGHT * (ratio - self.pace)
+        ratio = min(_MAX_SLOWDOWN, seconds / expected)
+        self.slowdown += _SLOWDOWN_WEIGHT * (ratio - self.slowdown)
 
 
 class Sender(NamedTuple):
-    """One life of the instance that gets a request's results."""
+    """Instance that receives the results of a request.
+
+    Attributes:
+        id: Name of the instance.
+        incarnation: Its incarnation, None if it is unknown.
+    """
 
     id: str
-    life: str | None
+    incarnation: str | None
 
 
 class ServiceQueue:
-    """One stage service's queue and workers."""
+    """Queue and workers of one stage service.
+
+    Args:
+        service: Name of the service.
+        batching: Batching parameters of the service.
+        policy: Enabled mechanisms.
+
+    Attributes:
+        queue: Pieces that wait for a call.
+        worker_by_incarnation: Workers of the targets, by incarnation.
+        sender_by_request: Instances that receive the results of requests.
+        running: Pieces in running calls.
+        outcome_by_key: Outcomes of recently finished pieces.
+        cancelled: Recently cancelled requests.
+        changed: Event that wakes the workers; replaced each time that it is sent.
+        disowned_checks: Consecutive checks that found another owner for the queue.
+        wait_errors: Corrects forecasts by the errors of earlier ones.
+    """
 
     def __init__(self, service: str, batching: Batching, policy: Policy) -> None:
         self.service = service
         self.queue = StageQueue(batching, policy)
-        self.worker_by_life: dict[tuple[str, int], Worker] = {}
+        self.worker_by_incarnation: dict[tuple[str, int], Worker] = {}
         self.sender_by_request: OrderedDict[str, Sender] = OrderedDict()
         self.running: set[PieceKey] = set()
-        self.done_by_key: OrderedDict[PieceKey, PieceOutcome] = OrderedDict()
+        self.outcome_by_key: OrderedDict[PieceKey, PieceOutcome] = OrderedDict()
         self.cancelled: OrderedDict[str, None] = OrderedDict()
-        self.news = Event()
+        self.changed = Event()
         self.disowned_checks = 0
         self.wait_errors = WaitErrors()
         self._submitted_at = float("-inf")
 
-    def note_submission(self) -> None:
-        """Note that pieces came in.
+    def record_submission(self) -> None:
+        """Record that pieces were submitted.
 
-        After a pause this instance may have just become the owner, and calls of the
-        one before may still run.
+        After a pause in submissions this instance may have just become the owner, and
+        calls of the previous owner may still be running.
         """
-        moment = now()
-        if moment - self._submitted_at > _SHARED_S:
-            for worker in self.worker_by_life.values():
-                worker.note_shared()
-        self._submitted_at = moment
-
-    def note_sender(self, request: str, sender: Sender) -> None:
-        """Note which instance gets a request's results."""
+        at = now()
+        if at - self._submitted_at > _SHARED_S:
+            for worker in self.worker_by_incarnation.values():
+                worker.record_sharing()
+        self._submitted_at = at
+
+    def record_sender(self, request: str, sender: Sender) -> None:
+        """Record which instance receives a request's results."""
         self.sender_by_request[request] = sender
         _trim(self.sender_by_request)
 
-    def note_done(self, key: PieceKey, done: PieceOutcome) -> None:
-        """Keep a result, in case its datagram gets lost."""
-        self.done_by_key[key] = done
-        _trim(self.done_by_key)
+    def record_outcome(self, key: PieceKey, outcome: PieceOutcome) -> None:
+        """Keep the outcome of a piece in case the datagram with it is lost."""
+        self.outcome_by_key[key] = outcome
+        _trim(self.outcome_by_key)
         stage = StageKey(key.request, key.stage, key.round)
         self.wait_errors.record_piece_done(stage, now())
 
-    def take_results(self, requests: set[str]) -> list[str]:
-        """Forget the results of requests; their handles."""
-        keys = [key for key in self.done_by_key if key.request in requests]
-        return [self.done_by_key.pop(key).handle for key in keys]
+    def pop_handles(self, requests: set[str]) -> list[str]:
+        """Remove the outcomes of requests and return the handles of their results."""
+        keys = [key for key in self.outcome_by_key if key.request in requests]
+        return [self.outcome_by_key.pop(key).handle for key in keys]
 
-    def note_cancelled(self, request: str) -> None:
-        """Note that the results of a request are not needed any more."""
+    def record_cancelled(self, request: str) -> None:
+        """Record that the results of a request are no longer needed."""
         self.cancelled[request] = None
         _trim(self.cancelled)
 
-    def wake(self) -> None:
+    def wake_workers(self) -> None:
         """Wake all workers."""
-        news, self.news = self.news, Event()
-        news.send()
+        changed, self.changed = self.changed, Event()
+        changed.send()
 
-    def fit_workers(self) -> list[Worker]:
-        """Workers whose targets are not resting after a failure."""
-        moment = now()
-        return [w for w in self.worker_by_life.values() if w.rest_until <= moment]
+    def available_workers(self) -> list[Worker]:
+        """Return the workers whose targets are not backing off after a failure."""
+        at = now()
+        return [w for w in self.worker_by_incarnation.values() if w.backoff_until <= at]
 
-    def others(self, worker: Worker) -> list[OtherTarget]:
-        """What the other workers can take."""
-        moment = now()
+    def other_targets(self, worker: Worker) -> list[OtherTarget]:
+        """Return zone, availability and free memory of the other usable targets."""
+        at = now()
         return [
             OtherTarget(
                 other.target.zone,
-                max(0.0, other.free_at - moment),
-                other.room.free_bytes(moment),
+                max(0.0, other.free_at - at),
+                other.memory.free_bytes(at),
             )
-            for other in self.fit_workers()
+            for other in self.available_workers()
             if other is not worker
         ]
 
 
-def _trim(kept: OrderedDict) -> None:
-    while len(kept) > KEPT:
-        kept.popitem(last=False)
+def _trim(entries: OrderedDict) -> None:
+    while len(entries) > _MAX_REMEMBERED:
+        entries.popitem(last=False)
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -1,4 +1,4 @@
-"""Serves callers' requests: what each is, whether it may run, and how it ended."""
+"""Serves callers' requests: routes, authenticates, runs and logs each of them."""
 
 import random
 from typing import Any
@@ -38,7 +38,7 @@
 from bergamotsaddle_serving.suspects import Suspects
 from bergamotsaddle_serving.view import View
 
-_CLOSING = frozenset(
+_CLOSING_KINDS = frozenset(
     (
         ErrorKind.BAD_REQUEST,
         ErrorKind.TOO_LARGE,
@@ -46,21 +46,22 @@
         ErrorKind.TOO_SLOW,
     )
 )
-_LONGEST_RETRY_PART = 1 / 3
-_WHOLE = "whole"
-_LEFT = "caller_left"
+# Largest part of the remaining time that callers are asked to wait before a retry.
+_MAX_RETRY_AFTER_FRACTION = 1 / 3
+_COMPLETE = "whole"
+_CALLER_LEFT = "caller_left"
 
 
 class _OutOfTimeError(BergamotsaddleError):
-    """The request's time is up."""
+    """The deadline of the request has passed."""
 
 
 class _StoppingError(BergamotsaddleError):
-    """This instance is about to end."""
+    """This instance is about to stop."""
 
 
 class ErrorResponse(msgspec.Struct):
-    """What a caller is told instead of an answer."""
+    """Body of the response to a request that failed."""
 
     kind: str
     ran: str
@@ -68,18 +69,23 @@
 
 
 class Handler:
-    """Serves one request after the other of each caller's connection.
+    """Serves the requests of callers' connections, one after the other on each.
 
     Args:
-        view: What is in force.
-        plain: Serves plain services.
-        streams: Serves engines.
-        budget: Counts requests.
+        view: Current configuration and targets.
+        plain: Serves requests with a single response.
+        streams: Serves streaming requests.
+        budget: Limits retries; counts requests for that.
         dialect: Decodes heads.
         metrics: Counts outcomes.
-        logger: Gets a line for each request.
-        policy: Which mechanisms are in force.
-        suspects: Knows requests that end their targets.
+        logger: Logs each request.
+        policy: Enabled mechanisms.
+        suspects: Requests that are suspected of crashing their targets.
+
+    Attributes:
+        connections: Open connections of callers.
+        active: Number of requests that are being served.
+        served: Number of requests so far.
     """
 
     def __init__(
@@ -110,37 +116,38 @@
         self._workers: set[greenlet] = set()
 
     def abort_all(self) -> None:
-        """End every request that still runs, each with an answer that is true.
+        """Abort all running requests, each with a response that is true.
 
-        The process is about to be killed; a caller whose connection only closes does
-        not know whether its request has run, and one that may not repeat it is stuck.
+        The process is about to be killed. A caller whose connection is merely closed
+        does not know whether its request has run, and can't go on if it must not
+        repeat it.
         """
         for worker in list(self._workers):
             eventlet.kill(worker, _StoppingError("stopping"))
 
     def limits(self) -> CallerLimits:
-        """The limits on callers in force."""
+        """Return the current limits on callers."""
         configuration = self._view.configuration
         return configuration.limits if configuration else CallerLimits()
 
     def run(self, caller: CallerConnection) -> None:
-        """Serve a connection until it ends."""
+        """Serve a connection until it is closed."""
         self.connections.add(caller)
         try:
-            while self._next(caller):
+            while self._serve_next(caller):
                 continue
         except CallerLeftError:
-            # It left in the middle of sending a request, which has not run.
+            # The caller left while it was sending a request, which has not run.
             caller.must_close = True
         finally:
             self.connections.discard(caller)
             caller.close()
 
-    def _next(self, caller: CallerConnection) -> bool:
+    def _serve_next(self, caller: CallerConnection) -> bool:
         try:
             raw = caller.read()
         except RequestError as error:
-            self._refuse(caller, "", error)
+            self._send_error(caller, "", error)
             return False
         if raw is None:
             return False
@@ -153,43 +160,43 @@
         return caller.prepare_next()
 
     def _serve(self, caller: CallerConnection, raw: RawRequest) -> None:
-        began_at = raw.started_at
+        started_at = raw.started_at
         request_id = ""
-        outcome: str = _WHOLE
+        outcome: str = _COMPLETE
         context = None
         try:
             head = self._dialect.read_head(raw.method, raw.path, raw.headers)
             request_id = head.id
-            context = self._context(head, raw)
+            context = self._make_context(head, raw)
             if self._suspects.is_quarantined(context.fingerprint):
                 raise context.quarantine_error()
             self._budget.count_request(context.service.name)
             self._run(caller, context)
         except RequestError as error:
             outcome = error.kind
-            self._fail(caller, request_id, error, context)
+            self._handle_error(caller, request_id, error, context)
         except CallerLeftError:
-            outcome = _LEFT
+            outcome = _CALLER_LEFT
             caller.reset()
         except Exception:
-            # An error nobody thought of must not leave the caller without an end.
+            # An unexpected error must not leave the caller without a response.
             outcome = ErrorKind.INTERNAL
             self._logger.exception("request_error", request=request_id)
             detail = "internal error"
-            self._fail(
+            self._handle_error(
                 caller, request_id, RequestError(ErrorKind.INTERNAL, detail), context
             )
-        self._note(request_id, context, outcome, now() - began_at)
+        self._record_outcome(request_id, context, outcome, now() - started_at)
 
     def _run(self, caller: CallerConnection, context: Context) -> None:
-        def work() -> None:
+        def dispatch() -> None:
             with eventlet.Timeout(max(0.001, context.remaining), _OutOfTimeError("")):
-                self._work(caller, context)
+                self._dispatch(caller, context)
 
         worker = eventlet.getcurrent()
         self._workers.add(worker)
         try:
-            caller.run_while_connected(work)
+            caller.run_while_connected(dispatch)
         except _OutOfTimeError as error:
             raise context.abort_error(
                 ErrorKind.DEADLINE_PASSED, "out of time"
@@ -199,14 +206,14 @@
         finally:
             self._workers.discard(worker)
 
-    def _work(self, caller: CallerConnection, context: Context) -> None:
+    def _dispatch(self, caller: CallerConnection, context: Context) -> None:
         if context.route.kind is Kind.STREAM:
             self._streams.serve(context, caller)
             return
-        answer = self._plain.serve(context)
-        caller.respond(answer.status, answer.headers, answer.body)
+        response = self._plain.serve(context)
+        caller.respond(response.status, response.headers, response.body)
 
-    def _context(self, head: RequestHead, raw: RawRequest) -> Context:
+    def _make_context(self, head: RequestHead, raw: RawRequest) -> Context:
         configuration = self._view.configuration
         if configuration is None or not self._view.is_complete():
             raise RequestError(ErrorKind.NOT_READY, "no configuration is known yet")
@@ -260,7 +267,7 @@
             raise RequestError(ErrorKind.NO_TARGET, f"service {name} isn't declared")
         return service
 
-    def _fail(
+    def _handle_error(
         self,
         caller: CallerConnection,
         request_id: str,
@@ -268,15 +275,16 @@
         context: Context | None,
     ) -> None:
         if caller.has_started:
-            # Its head says success; only a break tells the caller that it isn't whole.
+            # The head that was sent says success. Only a reset connection tells the
+            # caller that the response is incomplete.
             caller.reset()
             return
         if error.retry_after is not None and context is not None:
-            most = max(0.0, context.remaining * _LONGEST_RETRY_PART)
-            error.retry_after = min(error.retry_after, most)
-        self._refuse(caller, request_id, error)
+            max_retry_after = max(0.0, context.remaining * _MAX_RETRY_AFTER_FRACTION)
+            error.retry_after = min(error.retry_after, max_retry_after)
+        self._send_error(caller, request_id, error)
 
-    def _refuse(
+    def _send_error(
         self, caller: CallerConnection, request_id: str, error: RequestError
     ) -> None:
         headers = [(b"content-type", b"application/json")]
@@ -284,22 +292,22 @@
             headers.append((b"x-request-id", request_id.encode("latin-1")))
         if error.retry_after is not None and error.ran is Ran.NO:
             headers.append((b"retry-after", b"%.3f" % error.retry_after))
-        if error.kind in _CLOSING:
+        if error.kind in _CLOSING_KINDS:
             caller.must_close = True
         body = msgspec.json.encode(ErrorResponse(error.kind, error.ran, error.detail))
         try:
             caller.respond(error.status, headers, body)
         except CallerLeftError:
-            # There is nobody to tell any more; the request's own line says the rest.
+            # The caller is gone. The outcome of the request is logged all the same.
             caller.reset()
 
-    def _note(
+    def _record_outcome(
         self, request_id: str, context: Context | None, outcome: str, seconds: float
     ) -> None:
         route = context.route.name if context else ""
         self._metrics.count_request(route, outcome, seconds)
-        write = self._logger.info if outcome == _WHOLE else self._logger.warning
-        write(
+        log = self._logger.info if outcome == _COMPLETE else self._logger.warning
+        log(
             "request",
             request=request_id,
             route=route,
--- a/packages/serving/bergamotsaddle_serving/plain.py
+++ b/packages/serving/bergamotsaddle_serving/plain.py
@@ -1,4 +1,4 @@
-"""Serves requests for plain services: whole answers, repeated only where allowed."""
+"""Serves requests for plain services: complete responses, retried where allowed."""
 
 from typing import Any
 
@@ -18,18 +18,24 @@
 from bergamotsaddle_serving.selector import Candidate, Selector
 from bergamotsaddle_serving.target_crashes import TargetCrashes
 
-_MAX_ANSWER_BYTES = 64_000_000
+_MAX_RESPONSE_BYTES = 64_000_000
 _SERVER_ERROR = 500
-# A target that takes this many times the usual time has lost the request, or is slow
-# enough for another one to answer earlier.
+# A target that takes this many times its usual time has lost the request, or is so slow
+# that another one is expected to respond earlier.
 _SLOW_FACTOR = 5.0
-_LEAST_LIMIT_S = 0.3
-# Targets tried for a request that none of them ran.
+_MIN_TIMEOUT_S = 0.3
+# Refusals after which a request that no target ran is rejected.
 _MAX_REFUSALS = 3
 
 
 class CompleteResponse:
-    """A target's whole answer, ready to be passed on."""
+    """A target's complete response, ready to be forwarded.
+
+    Args:
+        status: HTTP status.
+        headers: End-to-end headers.
+        body: Complete body.
+    """
 
     def __init__(self, status: int, headers: RawHeaders, body: bytes) -> None:
         self.status = status
@@ -38,15 +44,15 @@
 
 
 class PlainServer:
-    """Serves requests that have one whole answer.
+    """Serves requests that have a single, complete response.
 
     Args:
-        selector: Finds targets.
-        pool: Connections to them.
-        budget: Limits repeats.
+        selector: Selects targets.
+        pool: Connections to targets.
+        budget: Limits retries.
         dialect: Makes headers.
-        logger: Gets a line for each attempt that didn't answer.
-        ends: Finds out whether a target has ended, and under which requests.
+        logger: Logs failed attempts.
+        crashes: Detects crashed targets and the requests that they were running.
     """
 
     def __init__(
@@ -60,7 +66,7 @@
         crashes: TargetCrashes,
     ) -> None:
         self._suspects = crashes.suspects
-        self._ends = crashes
+        self._crashes = crashes
         self._selector = selector
         self._pool = pool
         self._budget = budget
@@ -68,54 +74,54 @@
         self._logger = logger
 
     def serve(self, context: Context) -> CompleteResponse:
-        """Get the answer to a request.
+        """Return the response to a request.
 
         Raises:
-            RequestError: If there is none; it says whether the request has run.
+            RequestError: If there is none; it says whether the request may have run.
         """
         tried: set[str] = set()
         denied: set[str] = set()
         failure: CompleteResponse | None = None
-        ran = 0
+        runs = 0
         refusals = 0
         while True:
-            candidate = self._next(context, tried, denied)
+            candidate = self._next_candidate(context, tried, denied)
             if candidate is None:
-                return self._give_up(context, failure, ran)
+                return self._finish_failed(context, failure, runs)
             tried.add(candidate.target.id)
-            can_repeat = context.route.may_repeat and ran + 1 < context.route.attempts
+            can_repeat = context.route.may_repeat and runs + 1 < context.route.attempts
             try:
-                answer = self._try(context, candidate, can_repeat=can_repeat)
+                response = self._try(context, candidate, can_repeat=can_repeat)
             except NotRunError as error:
-                self._note(context, candidate, error.reason, "no")
+                self._log_failed_attempt(context, candidate, error.reason, "no")
                 refusals += 1
                 if refusals >= _MAX_REFUSALS:
-                    return self._give_up(context, failure, ran)
+                    return self._finish_failed(context, failure, runs)
                 continue
             except OutcomeUnknownError as error:
-                self._note(context, candidate, error.reason, "unknown")
-                ran += 1
-                self._ends.record_failure(
+                self._log_failed_attempt(context, candidate, error.reason, "unknown")
+                runs += 1
+                self._crashes.record_failure(
                     candidate.target, [context.fingerprint], error.reason
                 )
                 if not can_repeat or self._suspects.is_quarantined(context.fingerprint):
-                    return self._give_up(context, failure, ran)
+                    return self._finish_failed(context, failure, runs)
                 continue
-            ran += 1
+            runs += 1
             self._suspects.record_success(candidate.target, context.fingerprint)
-            if answer.status < _SERVER_ERROR or not can_repeat:
-                return answer
-            failure = answer
+            if response.status < _SERVER_ERROR or not can_repeat:
+                return response
+            failure = response
 
-    def _next(
+    def _next_candidate(
         self, context: Context, tried: set[str], denied: set[str]
     ) -> Candidate | None:
-        """The target to try next, None if there is none.
+        """Return the target to try next, None if there is none.
 
         Args:
             context: The request.
-            tried: Targets that it was sent to.
-            denied: Targets that had no permit to give; more are added.
+            tried: Ids of targets that the request was sent to.
+            denied: Ids of targets that had no permit left; further ones are added.
         """
         if context.remaining <= 0:
             return None
@@ -144,24 +150,24 @@
         state = candidate.state
         limit = context.remaining
         if can_repeat and self._budget.remaining(context.service.name) >= 1:
-            limit = min(limit, max(_LEAST_LIMIT_S, _SLOW_FACTOR * state.latency))
+            limit = min(limit, max(_MIN_TIMEOUT_S, _SLOW_FACTOR * state.latency))
         self._selector.record_sent(candidate, context.service)
         with Attempt(context, state, self._pool, self._dialect) as attempt:
             dispatch = Dispatch(candidate.target, context.remaining, context.team)
-            reply = attempt.send(dispatch, limit=limit)
-            body = attempt.read_body(limit=limit, most=_MAX_ANSWER_BYTES)
-            if reply.head.status in NOT_RUN_STATUSES:
-                raise OutcomeUnknownError(f"status {reply.head.status}")
+            response = attempt.send(dispatch, limit=limit)
+            body = attempt.read_body(limit=limit, max_bytes=_MAX_RESPONSE_BYTES)
+            if response.head.status in NOT_RUN_STATUSES:
+                raise OutcomeUnknownError(f"status {response.head.status}")
             state.record_success(now() - attempt.started_at)
-        headers = list(end_to_end_headers(reply.head.headers))
-        return CompleteResponse(reply.head.status, headers, body)
+        headers = list(end_to_end_headers(response.head.headers))
+        return CompleteResponse(response.head.status, headers, body)
 
-    def _give_up(
-        self, context: Context, failure: CompleteResponse | None, ran: int
+    def _finish_failed(
+        self, context: Context, failure: CompleteResponse | None, runs: int
     ) -> CompleteResponse:
         if failure is not None:
             return failure
-        if not ran:
+        if not runs:
             wait = self._selector.permit_wait(context.service.name)
             raise context.rejection_error(
                 ErrorKind.NO_TARGET,
@@ -172,7 +178,7 @@
             ErrorKind.TARGET_FAILED, "the target broke off", ran=Ran.UNKNOWN
         )
 
-    def _note(
+    def _log_failed_attempt(
         self, context: Context, candidate: Candidate, reason: str, ran: str
     ) -> None:
         self._logger.warning(
--- a/packages/serving/bergamotsaddle_serving/usage.py
+++ b/packages/serving/bergamotsaddle_serving/usage.py
@@ -1,4 +1,4 @@
-"""What a daemon takes of its machine. No input or output here."""
+"""Measures the processor time and timer delays of a daemon, without any I/O."""
 
 import resource
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 
 
 class Usage(NamedTuple):
-    """The usage of one interval.
+    """Usage of one interval.
 
     Attributes:
-        cpu: Processor time as a part of one core.
-        delay: The longest time that a timer fired late, in seconds.
-        counts: How much each counter grew, by name.
+        cpu: Processor time as a fraction of one core.
+        delay: Longest delay of a timer, in seconds.
+        counts: Increase of each counter, by name.
     """
 
     cpu: float
@@ -24,18 +24,19 @@
 
 
 def processor_seconds() -> float:
-    """Processor time of this process, user's and system's."""
+    """Return the user and system processor time of this process."""
     spent = resource.getrusage(resource.RUSAGE_SELF)
     return spent.ru_utime + spent.ru_stime
 
 
 class UsageMeter:
-    """Measures the processor time of this process between two reports.
+    """Measures the usage of this process between two reports.
 
-    Late timers tell an overloaded daemon from one whose requests wait at targets.
+    Delayed timers distinguish an overloaded daemon from one whose requests wait at
+    targets.
 
     Args:
-        counters: Read the counters to report, by name.
+        counters: Functions that read the counters to report, by name.
         processor_seconds: Reads the processor time of this process.
     """
 
@@ -47,18 +48,18 @@
     ) -> None:
         self._counters = counters
         self._processor_seconds = processor_seconds
-        self._began_at = now()
+        self._started_at = now()
         self._cpu_before = processor_seconds()
         self._counts_before = self._read()
         self._delay = 0.0
 
     def record_delay(self, seconds: float) -> None:
-        """Note by how much a timer fired late."""
+        """Record by how many seconds a timer fired late."""
         self._delay = max(self._delay, seconds)
 
     def collect(self) -> Usage | None:
-        """The usage since the last report, None before the interval is over."""
-        elapsed = now() - self._began_at
+        """Return the usage since the last report, None before the interval is over."""
+        elapsed = now() - self._started_at
         if elapsed < REPORT_INTERVAL_S:
             return None
         spent = self._processor_seconds() - self._cpu_before
@@ -68,7 +69,7 @@
             round(self._delay, 4),
             {name: counts[name] - self._counts_before[name] for name in counts},
         )
-        self._began_at += elapsed
+        self._started_at += elapsed
         self._cpu_before += spent
         self._counts_before = counts
         self._delay = 0.0
