--- a/packages/serving/bergamotsaddle_serving/caller.py
+++ b/packages/serving/bergamotsaddle_serving/caller.py
@@ -26,17 +26,17 @@
 _LENGTH_LINE = re.compile(rb"\r\ncontent-length[ \t]*:", re.IGNORECASE)
 _FOLDED = re.compile(rb"\r\n[ \t]")
 # A body takes far less on any link that a deadline of seconds allows for.
-_BODY_LIMIT_S = 10.0
+_BODY_TIMEOUT_S = 10.0
 # A caller that doesn't read its answer for this long is gone.
-_WRITE_LIMIT_S = 10.0
+_WRITE_TIMEOUT_S = 10.0
 # Requests that a caller sends ahead are kept up to this many bytes.
-_MAX_AHEAD = 262_144
+_MAX_BUFFERED = 262_144
 # Linger on, for no time: a close sends a reset instead of a proper end.
 _RESET = struct.pack("ii", 1, 0)
 # A green socket that another green thread closes raises EOFError in the one that reads.
 # Not caught there, it comes out of the hub and ends the process, in the middle of the
 # answers that are still being sent while an instance stops.
-_ENDED = (OSError, EOFError)
+_CONNECTION_ERRORS = (OSError, EOFError)
 
 
 class CallerLeftError(BergamotsaddleError):
@@ -79,8 +79,8 @@
         self._socket = sock
         self._limits = limits
         self._is_stopping = is_stopping
-        self._ahead = b""
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_AHEAD)
+        self._buffered = b""
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_BUFFERED)
         self.is_idle = True
         self.must_close = False
         self.has_started = False
@@ -95,7 +95,7 @@
         """
         self.is_idle = True
         self.has_started = False
-        if not self._ahead and not self._wait_first_byte():
+        if not self._buffered and not self._wait_first_byte():
             return None
         self.is_idle = False
         started_at = now()
@@ -103,7 +103,7 @@
             request = self._read_request(started_at)
         except h11.RemoteProtocolError as error:
             raise RequestError(ErrorKind.BAD_REQUEST, "malformed request") from error
-        self._ahead = bytes(self._h11.trailing_data[0])
+        self._buffered = bytes(self._h11.trailing_data[0])
         return request
 
     def run_while_connected(self, work: Callable[[], None]) -> None:
@@ -112,7 +112,7 @@
         Raises:
             CallerLeftError: If the caller left before the work was done.
         """
-        watcher = eventlet.spawn(self._watch, eventlet.getcurrent())
+        watcher = eventlet.spawn(self._watch_for_disconnect, eventlet.getcurrent())
         try:
             work()
         finally:
@@ -149,7 +149,7 @@
             return False
         # A new parser, since the old one keeps bytes that were read ahead, which
         # are fed again with the next request.
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_AHEAD)
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_BUFFERED)
         return True
 
     def close(self) -> None:
@@ -181,17 +181,17 @@
     def _wait_first_byte(self) -> bool:
         try:
             with eventlet.Timeout(self._limits().idle_seconds):
-                self._ahead = self._socket.recv(_CHUNK)
-        except (eventlet.Timeout, *_ENDED):
+                self._buffered = self._socket.recv(_CHUNK)
+        except (eventlet.Timeout, *_CONNECTION_ERRORS):
             # An idle caller that stays silent or resets has lost nothing.
             return False
-        return bool(self._ahead)
+        return bool(self._buffered)
 
     def _read_request(self, started_at: float) -> RawRequest:
         limits = self._limits()
         try:
             with eventlet.Timeout(limits.head_seconds):
-                head, rest = self._read_head(limits)
+                head, remainder = self._read_head(limits)
         except eventlet.Timeout as error:
             raise RequestError(ErrorKind.TOO_SLOW, "the head took too long") from error
         self._h11.receive_data(head)
@@ -200,10 +200,10 @@
             raise RequestError(ErrorKind.BAD_REQUEST, "expected a request")
         _check_lengths(event, limits)
         self._send_continue()
-        if rest:
-            self._h11.receive_data(rest)
+        if remainder:
+            self._h11.receive_data(remainder)
         try:
-            with eventlet.Timeout(_BODY_LIMIT_S):
+            with eventlet.Timeout(_BODY_TIMEOUT_S):
                 body = self._read_body(limits)
         except eventlet.Timeout as error:
             raise RequestError(ErrorKind.TOO_SLOW, "the body took too long") from error
@@ -212,7 +212,9 @@
 
     def _read_head(self, limits: CallerLimits) -> tuple[bytes, bytes]:
         data = (
-            self._ahead.lstrip(b"\r\n") if self._ahead[:1] in b"\r\n" else self._ahead
+            self._buffered.lstrip(b"\r\n")
+            if self._buffered[:1] in b"\r\n"
+            else self._buffered
         )
         while _HEAD_END not in data:
             if len(data) > limits.head_bytes:
@@ -221,7 +223,7 @@
             if b"\n\n" in data:
                 raise RequestError(ErrorKind.BAD_REQUEST, "malformed head")
             data += self._receive()
-        head, _, rest = data.partition(_HEAD_END)
+        head, _, remainder = data.partition(_HEAD_END)
         if len(head) > limits.head_bytes:
             raise RequestError(ErrorKind.HEAD_TOO_LARGE, "the head is too large")
         if len(_LENGTH_LINE.findall(head)) > 1:
@@ -230,7 +232,7 @@
             # Parsers disagree on such lines; a request could hide in what one of
             # them takes for a header.
             raise RequestError(ErrorKind.BAD_REQUEST, "malformed head")
-        return head + _HEAD_END, rest
+        return head + _HEAD_END, remainder
 
     def _send_continue(self) -> None:
         if self._h11.they_are_waiting_for_100_continue:
@@ -238,45 +240,45 @@
             self._write(self._h11.send(event))
 
     def _read_body(self, limits: CallerLimits) -> bytes:
-        parts = []
+        chunks = []
         size = 0
         while True:
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
                 self._h11.receive_data(self._receive())
             elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
+                chunks.append(bytes(event.data))
                 size += len(event.data)
                 if size > limits.body_bytes:
                     raise RequestError(ErrorKind.TOO_LARGE, "the body is too large")
             else:
-                return b"".join(parts)
+                return b"".join(chunks)
 
     def _receive(self) -> bytes:
         try:
             data = self._socket.recv(_CHUNK)
-        except _ENDED as error:
+        except _CONNECTION_ERRORS as error:
             raise CallerLeftError("reset") from error
         if not data:
             raise CallerLeftError("closed")
         return data
 
-    def _watch(self, worker: GreenThread) -> None:
-        while len(self._ahead) < _MAX_AHEAD:
+    def _watch_for_disconnect(self, worker: GreenThread) -> None:
+        while len(self._buffered) < _MAX_BUFFERED:
             try:
                 data = self._socket.recv(_CHUNK)
-            except _ENDED:
+            except _CONNECTION_ERRORS:
                 data = b""
             if not data:
                 eventlet.kill(worker, CallerLeftError("closed"))
                 return
-            self._ahead += data
+            self._buffered += data
 
     def _write(self, data: bytes) -> None:
         if not data:
             return
         try:
-            with eventlet.Timeout(_WRITE_LIMIT_S):
+            with eventlet.Timeout(_WRITE_TIMEOUT_S):
                 self._socket.sendall(data)
         except (eventlet.Timeout, OSError) as error:
             raise CallerLeftError("unread") from error
--- a/packages/serving/bergamotsaddle_serving/catalog.py
+++ b/packages/serving/bergamotsaddle_serving/catalog.py
@@ -1,19 +1,20 @@
-"""What operators publish: routes, services, teams, and the list of live targets."""
+"""The operators' configuration (routes, services, teams) and the listed targets."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 from bergamotsaddle_contracts.ini import Address
 
-# Callers give up a stream that shows nothing for the longest of this, so many times its
-# objective, and so many times its longest pause; as the platform tells.
-_PATIENCE_S = 2.0
-_PATIENCE_OBJECTIVES = 4.0
-_PATIENCE_GAPS = 8.0
+# According to the platform, callers abandon a stream after a silence as long as the
+# longest of this time, this multiple of its objective, and this multiple of its longest
+# pause.
+_MAX_WAIT_FLOOR_S = 2.0
+_MAX_WAIT_OBJECTIVES = 4.0
+_MAX_WAIT_GAPS = 8.0
 
 
 class Kind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """How a route's requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -21,11 +22,11 @@
 
 
 class Stage(NamedTuple):
-    """Work that is done before a request itself can run.
+    """A stage that runs before the request itself.
 
     Attributes:
-        service: Name of the service whose targets do it.
-        after: Numbers of the stages whose results it needs.
+        service: Name of the service whose targets run the stage.
+        after: Indexes of the stages whose results it needs.
         result_bytes: Approximate size of one piece's result.
     """
 
@@ -35,29 +36,34 @@
 
 
 class Share(NamedTuple):
-    """A service's part of a route's requests."""
+    """The share of a service in a route's requests.
+
+    Attributes:
+        service: Name of the service.
+        weight: Weight of the service relative to the route's other shares.
+    """
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Which requests go where, and within what time.
+    """Maps requests of a host and path prefix to services, with their time limits.
 
     Attributes:
-        name: Its name, unique in a configuration.
-        host: Host that requests name.
+        name: Name of the route, unique in a configuration.
+        host: Host name of the requests.
         prefix: Start of the path, with a slash at both ends.
-        kind: What may be repeated.
+        kind: How its requests may be repeated.
         timeout: Seconds that a caller may be kept waiting.
-        objective: Seconds within which an answer (its first event) is on time.
-        attempts: Number of targets that one request may run on at most.
-        priority: Urgency, 0 first.
-        shares: The services that serve it.
-        stages: Work to do first, by number.
+        objective: Seconds within which a response (or its first event) is on time.
+        attempts: Maximum number of targets that one request may run on.
+        priority: Rank of its requests, 0 first.
+        shares: Services that serve the route.
+        stages: Stages that run first, in order of their indexes.
         is_public: Whether no key is needed.
-        is_resumable: Whether a stream may go on at another target.
-        event_gap: Longest pause between events in seconds that is on time.
+        is_resumable: Whether another target may resume a stream.
+        event_gap: Longest pause between events that is on time, in seconds.
     """
 
     name: str
@@ -76,11 +82,11 @@
 
     @property
     def max_wait(self) -> float:
-        """Seconds without an event after which a caller gives up a stream."""
+        """Seconds without an event after which a caller abandons a stream."""
         return max(
-            _PATIENCE_S,
-            _PATIENCE_OBJECTIVES * self.objective,
-            _PATIENCE_GAPS * self.event_gap,
+            _MAX_WAIT_FLOOR_S,
+            _MAX_WAIT_OBJECTIVES * self.objective,
+            _MAX_WAIT_GAPS * self.event_gap,
         )
 
     @property
@@ -90,15 +96,15 @@
 
 
 class Batching(NamedTuple):
-    """How one target of a stage service works.
+    """How one target of a stage service runs pieces.
 
     Attributes:
-        slots: Calls in progress at the same time.
-        size: Pieces in a call at most.
-        call_seconds: Time of a call besides its pieces.
-        piece_seconds: Approximate time of a piece.
-        room_bytes: Memory for results.
-        keep_seconds: How long a result is kept.
+        slots: Number of concurrent calls.
+        size: Maximum number of pieces in a call.
+        call_seconds: Duration of a call without its pieces.
+        piece_seconds: Approximate duration of a piece.
+        memory_bytes: Memory for results.
+        ttl_seconds: How long a result is kept.
     """
 
     slots: int
@@ -109,20 +115,21 @@
     ttl_seconds: float
 
     def seconds(self, pieces: int) -> float:
-        """Expected time of a call with so many pieces."""
+        """Return the expected duration of a call with this number of pieces."""
         return self.call_seconds + pieces * self.piece_seconds
 
 
 class Service(NamedTuple):
-    """What all targets of one service have in common.
+    """The properties that all targets of one service share.
 
     Attributes:
-        name: Its name.
-        max_connections: Connections that a target takes from all callers together.
+        name: Name of the service.
+        max_connections: Connections that a target accepts from all callers together.
         cold_seconds: How long a target is cold after its start.
-        cold_rate: Requests a second that a cold target bears; 0 for no limit.
-        batching: How it works on pieces, None unless it is a stage service.
-        engine_slots: Requests an engine runs at once; 0 unless it is an engine.
+        cold_rate: Requests per second that a cold target can serve; 0 for no limit.
+        batching: How targets run pieces, None unless it is a stage service.
+        engine_slots: Number of requests that an engine runs at once; 0 unless the
+            targets are engines.
     """
 
     name: str
@@ -134,7 +141,14 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what a caller may send, in bytes and seconds."""
+    """Limits on the size and duration of what a caller sends.
+
+    Attributes:
+        head_bytes: Maximum size of the head of a request.
+        body_bytes: Maximum size of its body.
+        head_seconds: Maximum time in which the head has to arrive.
+        idle_seconds: How long an idle connection is kept open.
+    """
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -146,21 +160,21 @@
     """A customer.
 
     Attributes:
-        name: Its name, which targets are told.
-        priority: Goes before the route's priority, if there is one.
+        name: Name of the team, which targets receive.
+        priority: Rank that takes precedence over the route's, None if there is none.
     """
 
     name: str
     priority: int | None = None
 
 
-def _priority(route: Route, team: Team | None) -> tuple[int, int]:
-    """What requests are ordered by: the team first, then the route.
+def _priority_key(route: Route, team: Team | None) -> tuple[int, int]:
+    """Return the sort key of requests: the team's priority, then the route's.
 
-    A team's priority goes before the route's, but says nothing among the requests of
-    one team. Were it taken in the route's place, all kinds of requests would be equal
-    wherever all teams have the same priority, and long chains of little use would take
-    the places of those that operators ranked first.
+    A team's priority takes precedence over the route's, but does not order the requests
+    of one team. If it replaced the route's, all routes would be equal wherever all
+    teams have the same priority, and long pipelines of low value would delay the
+    requests that operators ranked first.
     """
     if team is None or team.priority is None:
         return route.priority, route.priority
@@ -170,25 +184,25 @@
 def _rank_priorities(
     routes: list[Route], teams: list[tuple[Team, tuple[str, ...]]]
 ) -> dict[tuple[int, int], int]:
-    """Places of all priorities that requests can have, 0 first."""
+    """Return the rank of each sort key that requests can have, 0 first."""
     callers: list[Team | None] = [team for team, _ in teams]
     priorities = {
-        _priority(route, caller)
+        _priority_key(route, caller)
         for route in routes
         for caller in ([None, *callers] if route.is_public or not teams else callers)
     }
-    return {priority: place for place, priority in enumerate(sorted(priorities))}
+    return {priority: rank for rank, priority in enumerate(sorted(priorities))}
 
 
 class Configuration:
-    """One version of what operators want.
+    """One version of the operators' configuration.
 
     Args:
-        version: Its number; a higher one replaces a lower one.
+        version: Version number; a higher version replaces a lower one.
         routes: All routes.
         services: All services.
-        teams: Each team with its keys.
-        limits: Bounds on callers.
+        teams: Each team with its API keys.
+        limits: Limits on callers.
     """
 
     def __init__(
@@ -210,16 +224,16 @@
             self.routes_by_host.setdefault(route.host, []).append(route)
 
     def urgency(self, route: Route, team: Team | None) -> int:
-        """Place of a request among all that may come, 0 first.
+        """Return the urgency of a request, 0 first.
 
         Args:
-            route: Its route.
-            team: Its team, None on public routes.
+            route: Route of the request.
+            team: Team of the request, None on public routes.
         """
-        return self._urgency_by_priority[_priority(route, team)]
+        return self._urgency_by_priority[_priority_key(route, team)]
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix that begins the path."""
+        """Return the route of a host with the longest prefix that the path has."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -227,17 +241,17 @@
 
 
 class Target(NamedTuple):
-    """One life of a back end, as it registered itself.
+    """One incarnation of a back end, as it registered itself.
 
     Attributes:
-        id: Its name in the list.
-        service: What it serves.
-        address: Where it listens.
+        id: Id of the target in the list.
+        service: Name of the service that it belongs to.
+        address: Address at which it listens.
         zone: Its availability zone.
-        slots: Requests that it runs at once.
-        is_draining: Whether it leaves soon and must get nothing new.
-        cold_seconds: How long it stays cold from when the entry was read.
-        started_ms: When this life began, by its own clock; 0 if unknown.
+        slots: Number of requests that it runs at once.
+        is_draining: Whether it is about to leave and must get no new requests.
+        cold_seconds: How long it stays cold after its entry was read.
+        started_ms: Start time of this incarnation by its own clock, 0 if unknown.
         software: Version of its software, empty if unknown.
     """
 
@@ -253,5 +267,5 @@
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """What tells this life of the target from any other one."""
+        """Id and start time, which identify this incarnation of the target."""
         return self.id, self.started_ms
--- a/packages/serving/bergamotsaddle_serving/client.py
+++ b/packages/serving/bergamotsaddle_serving/client.py
@@ -17,26 +17,26 @@
 _original_select = patcher.original("select")
 
 _CHUNK = 65_536
-_MAX_ANSWER_HEAD = 65_536
+_MAX_HEAD_BYTES = 65_536
 # A connection between zones takes two trips of a few ms; a target that has not taken
 # one after this is dead, cut off or out of places.
 CONNECT_LIMIT_S = 0.4
 # A machine that is there answers a connection within a trip or two.
-_LISTENING_LIMIT_S = 0.1
+_LISTENING_TIMEOUT_S = 0.1
 # An instance without power acknowledges nothing. The kernel then ends the connection
 # after this time instead of after many minutes.
-_UNACKNOWLEDGED_LIMIT_MS = 1_500
-_PROBE_IDLE_S = 2
-_PROBE_INTERVAL_S = 1
-_PROBES = 2
+_UNACKNOWLEDGED_TIMEOUT_MS = 1_500
+_KEEPALIVE_IDLE_S = 2
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
 # How long an idle connection is kept if the target doesn't say.
-_DEFAULT_KEEP_S = 4.0
+_DEFAULT_KEEP_ALIVE_S = 4.0
 # A connection that the target is about to close is not used any more: a request that
 # meets the close would have an unknown outcome.
-_KEEP_MARGIN_S = 0.8
+_KEEP_ALIVE_MARGIN_S = 0.8
 # Bodies above this are sent beside reading the answer, since a target may answer
 # before it has read them all.
-_SEND_AHEAD = 16_384
+_MAX_INLINE_SEND = 16_384
 
 # Reasons of a connection that ended before its answer did.
 BROKEN_CONNECTION_REASONS = frozenset(("closed", "cut", "reset", "send"))
@@ -90,13 +90,13 @@
     def __init__(self, address: Address, *, limit: float = CONNECT_LIMIT_S) -> None:
         self.address = address
         self.idle_since = now()
-        self.keep_alive_seconds = _DEFAULT_KEEP_S
+        self.keep_alive_seconds = _DEFAULT_KEEP_ALIVE_S
         self._h11 = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=_MAX_ANSWER_HEAD
+            h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
         )
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sender: eventlet.greenthread.GreenThread | None = None
-        self._is_ended = False
+        self._has_peer_closed = False
         try:
             self._socket.settimeout(max(0.001, limit))
             self._set_options()
@@ -111,12 +111,12 @@
         sock = self._socket
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_LIMIT_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_TIMEOUT_MS
         )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
     def is_usable(self) -> bool:
         """Tell whether an idle connection may carry another request.
@@ -124,7 +124,7 @@
         Bytes that wait on an idle connection are a close, or a late second answer
         that would be taken for the next one.
         """
-        if now() - self.idle_since > self.keep_alive_seconds - _KEEP_MARGIN_S:
+        if now() - self.idle_since > self.keep_alive_seconds - _KEEP_ALIVE_MARGIN_S:
             return False
         poll = _original_select.poll()
         poll.register(self._socket.fileno(), _original_select.POLLIN)
@@ -149,8 +149,8 @@
             data += self._h11.send(h11.Data(data=request.body))
         data += self._h11.send(h11.EndOfMessage())
         self._socket.settimeout(max(0.001, limit))
-        if len(data) > _SEND_AHEAD:
-            self._sender = eventlet.spawn(self._send_beside, data)
+        if len(data) > _MAX_INLINE_SEND:
+            self._sender = eventlet.spawn(self._send_in_background, data)
             return len(data)
         try:
             self._socket.sendall(data)
@@ -158,7 +158,7 @@
             raise ConnectionLostError("send") from error
         return len(data)
 
-    def _send_beside(self, data: bytes) -> bool:
+    def _send_in_background(self, data: bytes) -> bool:
         try:
             self._socket.sendall(data)
         except OSError:
@@ -172,9 +172,9 @@
         Raises:
             ConnectionLostError: If there is none in time.
         """
-        event = self._next(limit)
+        event = self._next_event(limit)
         while isinstance(event, h11.InformationalResponse):
-            event = self._next(limit)
+            event = self._next_event(limit)
         if not isinstance(event, h11.Response):
             raise ConnectionLostError("no_head")
         return RawResponseHead(event.status_code, list(event.headers))
@@ -189,15 +189,15 @@
         Raises:
             ConnectionLostError: If it is not whole.
         """
-        ends_at = now() + limit
-        parts = []
+        until = now() + limit
+        chunks = []
         size = 0
-        while (data := self.read_some(limit=ends_at - now())) is not None:
-            parts.append(data)
+        while (data := self.read_some(limit=until - now())) is not None:
+            chunks.append(data)
             size += len(data)
             if size > max_bytes:
                 raise ConnectionLostError("too_long")
-        return b"".join(parts)
+        return b"".join(chunks)
 
     def read_some(self, *, limit: float) -> bytes | None:
         """Read the next part of the body; None at its proper end.
@@ -205,7 +205,7 @@
         Raises:
             ConnectionLostError: If the body broke off or nothing came in time.
         """
-        event = self._next(limit)
+        event = self._next_event(limit)
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -253,18 +253,18 @@
             self._sender.kill()
         self._socket.close()
 
-    def _next(self, limit: float) -> object:
-        ends_at = now() + limit
+    def _next_event(self, limit: float) -> object:
+        until = now() + limit
         while True:
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as error:
-                reason = "closed" if self._is_ended else "no_http"
+                reason = "closed" if self._has_peer_closed else "no_http"
                 raise ConnectionLostError(reason) from error
             if event is not h11.NEED_DATA:
                 return event
-            data = self._receive(ends_at - now())
-            self._is_ended = not data
+            data = self._receive(until - now())
+            self._has_peer_closed = not data
             self._h11.receive_data(data)
 
     def _receive(self, limit: float) -> bytes:
@@ -317,7 +317,7 @@
         A connection that is made is kept for the next request.
         """
         try:
-            connection = self.acquire(address, limit=_LISTENING_LIMIT_S)
+            connection = self.acquire(address, limit=_LISTENING_TIMEOUT_S)
         except ConnectionLostError as error:
             return error.reason == "refused"
         self._idle_by_address.setdefault(address, []).append(connection)
--- a/packages/serving/bergamotsaddle_serving/datagrams.py
+++ b/packages/serving/bergamotsaddle_serving/datagrams.py
@@ -11,7 +11,7 @@
 
 _MAX_DATAGRAM = 65_535
 # Other green threads get their turn after so many datagrams.
-_MOST_AT_ONCE = 64
+_MAX_BATCH = 64
 
 Datagram = tuple[bytes, tuple[str, int]]
 
@@ -49,7 +49,13 @@
             return
         self._is_open = True
         hub = hubs.get_hub()
-        hub.add(hub.READ, self._socket.fileno(), self._note, self._note, self.close)
+        hub.add(
+            hub.READ,
+            self._socket.fileno(),
+            self._on_readable,
+            self._on_readable,
+            self.close,
+        )
 
     def close(self, _: object = None) -> None:
         """Close the socket."""
@@ -74,9 +80,9 @@
             except BlockingIOError:
                 return
             count += 1
-            if count % _MOST_AT_ONCE == 0:
+            if count % _MAX_BATCH == 0:
                 eventlet.sleep(0)
 
-    def _note(self, _: object) -> None:
+    def _on_readable(self, _: object) -> None:
         if not self._arrived.ready():
             self._arrived.send()
--- a/packages/serving/bergamotsaddle_serving/gossip_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/gossip_exchange.py
@@ -1,4 +1,4 @@
-"""Carries facts between the instances."""
+"""Exchanges gossip facts with the other instances."""
 
 import random
 from collections.abc import Sequence
@@ -11,93 +11,97 @@
 from bergamotsaddle_serving.peer_messages import Fact, GossipUpdate, Heartbeat
 from bergamotsaddle_serving.peers import Peers
 
-# They fit into one packet.
-_FACTS_A_DATAGRAM = 16
-# A target that ends breaks off many requests; what they come to is told together.
-_GATHER_S = 0.02
-# Whoever holds other facts is told some of one's own after this time, and after twice
-# as long each time that they still differ.
-_FIRST_PAUSE_S = 1.0
-_LONGEST_PAUSE_S = 60.0
-# Facts that are told then: those of most worth, and others by chance.
-_MOST_WORTH = 64
-_BY_CHANCE = 64
+# This many facts fit into one packet.
+_FACTS_PER_DATAGRAM = 16
+# The crash of a target interrupts many requests; the facts that follow from them are
+# sent together after this delay.
+_BATCH_DELAY_S = 0.02
+# Pause after which a peer whose facts still differ gets facts again. It doubles each
+# time, up to the maximum.
+_INITIAL_PAUSE_S = 1.0
+_MAX_PAUSE_S = 60.0
+# The facts that such a peer gets: the ones of highest retention priority, and a random
+# sample of the rest.
+_TOP_FACTS = 64
+_RANDOM_FACTS = 64
 
 
-class _Differing(NamedTuple):
-    """A peer that holds other facts.
+class _DivergentPeer(NamedTuple):
+    """A peer whose facts differ from those of this instance.
 
     Attributes:
-        life: Of its process; a new one knows nothing.
-        tell_at: When to tell it some.
-        pause: Seconds until the time after that.
+        incarnation: Incarnation of the peer; a new one holds no facts.
+        send_at: Earliest time at which to send it facts.
+        pause: Seconds to wait after that until facts are sent again.
     """
 
     incarnation: str
-    tell_at: float
+    send_at: float
     pause: float
 
 
 class GossipExchange:
-    """Tells the other instances what this one has observed, and learns from them.
+    """Sends this instance's facts to the other instances and merges theirs.
 
-    A new fact is told to all that live at once. Heartbeats carry a digest of all facts:
-    whoever was cut off, missed a datagram or has just started is told them when its
-    digest is seen to differ.
+    A new fact is sent to all live instances at once. Heartbeats carry a digest of all
+    facts. An instance that was unreachable, missed a datagram or has just started has a
+    different digest, and gets facts when its heartbeat arrives.
 
     Args:
-        gossip: The facts.
+        gossip: The facts that this instance holds.
         peers: The other instances.
     """
 
     def __init__(self, gossip: Gossip, peers: Peers) -> None:
         self._gossip = gossip
         self._peers = peers
-        self._fresh: list[Fact] = []
-        self._differing_by_peer: dict[str, _Differing] = {}
+        self._unsent: list[Fact] = []
+        self._divergent_by_peer: dict[str, _DivergentPeer] = {}
         peers.set_handler(GossipUpdate, lambda message, _: gossip.merge(message.facts))
         peers.own_digest = lambda: gossip.digest
-        peers.on_heartbeat = self._compare
+        peers.on_heartbeat = self._compare_digest
 
     def publish(self, facts: Sequence[Fact | None]) -> None:
-        """Tell all that live what is new.
+        """Send new facts to all live instances.
 
         Args:
-            facts: What ``Gossip.record`` gave; None is passed over.
+            facts: Results of ``Gossip.record``; each None is skipped.
         """
-        news = [fact for fact in facts if fact is not None]
-        if news and not self._fresh:
-            eventlet.spawn_after(_GATHER_S, self._flush)
-        self._fresh += news
+        new_facts = [fact for fact in facts if fact is not None]
+        if new_facts and not self._unsent:
+            eventlet.spawn_after(_BATCH_DELAY_S, self._flush)
+        self._unsent += new_facts
 
     def _flush(self) -> None:
-        facts, self._fresh = self._fresh, []
+        facts, self._unsent = self._unsent, []
         for peer in self._peers.alive():
             self._send(peer.contact.id, facts)
 
-    def _compare(self, hello: Heartbeat) -> None:
-        peer_id = hello.sender.id
-        if hello.digest == self._gossip.digest:
-            self._differing_by_peer.pop(peer_id, None)
+    def _compare_digest(self, heartbeat: Heartbeat) -> None:
+        peer_id = heartbeat.sender.id
+        if heartbeat.digest == self._gossip.digest:
+            self._divergent_by_peer.pop(peer_id, None)
             return
-        moment = now()
-        known = self._differing_by_peer.get(peer_id)
-        if known is None or known.incarnation != hello.incarnation:
-            known = _Differing(hello.incarnation, moment, _FIRST_PAUSE_S)
-        if known.tell_at > moment:
+        at = now()
+        known = self._divergent_by_peer.get(peer_id)
+        if known is None or known.incarnation != heartbeat.incarnation:
+            known = _DivergentPeer(heartbeat.incarnation, at, _INITIAL_PAUSE_S)
+        if known.send_at > at:
             return
-        longer = min(_LONGEST_PAUSE_S, 2.0 * known.pause)
-        self._differing_by_peer[peer_id] = known._replace(
-            tell_at=moment + known.pause, pause=longer
+        next_pause = min(_MAX_PAUSE_S, 2.0 * known.pause)
+        self._divergent_by_peer[peer_id] = known._replace(
+            send_at=at + known.pause, pause=next_pause
         )
-        self._send(peer_id, self._choose())
+        self._send(peer_id, self._choose_facts())
 
-    def _choose(self) -> list[Fact]:
+    def _choose_facts(self) -> list[Fact]:
         facts = self._gossip.facts()
-        rest = facts[_MOST_WORTH:]
-        return facts[:_MOST_WORTH] + random.sample(rest, min(_BY_CHANCE, len(rest)))
+        remainder = facts[_TOP_FACTS:]
+        return facts[:_TOP_FACTS] + random.sample(
+            remainder, min(_RANDOM_FACTS, len(remainder))
+        )
 
     def _send(self, peer_id: str, facts: Sequence[Fact]) -> None:
-        for begin in range(0, len(facts), _FACTS_A_DATAGRAM):
-            part = list(facts[begin : begin + _FACTS_A_DATAGRAM])
-            self._peers.send(peer_id, GossipUpdate(part))
+        for start in range(0, len(facts), _FACTS_PER_DATAGRAM):
+            batch = list(facts[start : start + _FACTS_PER_DATAGRAM])
+            self._peers.send(peer_id, GossipUpdate(batch))
--- a/packages/serving/bergamotsaddle_serving/log.py
+++ b/packages/serving/bergamotsaddle_serving/log.py
@@ -17,7 +17,7 @@
 LINES_PER_S = 1000.0
 # The last part of each second's lines is kept for those that explain a refusal or a
 # failure, which is what somebody will look for afterwards.
-_KEPT_FOR_FAILURES = 300.0
+_RESERVED_FOR_FAILURES = 300.0
 _DROP_REPORT_S = 5.0
 
 
@@ -33,8 +33,8 @@
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._rest = b""
-        self._left = LINES_PER_S
+        self._unsent = b""
+        self._remaining_lines = LINES_PER_S
         self._filled_at = now()
         self._reported_at = now()
         self.dropped = 0
@@ -42,33 +42,33 @@
 
     def write(self, line: bytes, *, is_failure: bool) -> None:
         """Write a line without its end, or drop it."""
-        if not self._take(is_failure) or not self._push(line + b"\n"):
+        if not self._try_spend_line(is_failure) or not self._write_all(line + b"\n"):
             self.dropped += 1
             return
         if self.dropped and now() - self._reported_at > _DROP_REPORT_S:
             self._report()
 
-    def _take(self, is_failure: bool) -> bool:
-        moment = now()
-        gained = (moment - self._filled_at) * LINES_PER_S
-        self._left = min(LINES_PER_S, self._left + gained)
-        self._filled_at = moment
-        if self._left < (1.0 if is_failure else _KEPT_FOR_FAILURES):
+    def _try_spend_line(self, is_failure: bool) -> bool:
+        at = now()
+        refill = (at - self._filled_at) * LINES_PER_S
+        self._remaining_lines = min(LINES_PER_S, self._remaining_lines + refill)
+        self._filled_at = at
+        if self._remaining_lines < (1.0 if is_failure else _RESERVED_FOR_FAILURES):
             return False
-        self._left -= 1.0
+        self._remaining_lines -= 1.0
         return True
 
-    def _push(self, data: bytes) -> bool:
+    def _write_all(self, data: bytes) -> bool:
         # What is left of a line that was written in part goes out first, since the
         # lines after it could not be read otherwise.
-        if self._rest:
-            self._rest = self._rest[self._write(self._rest) :]
-            if self._rest:
+        if self._unsent:
+            self._unsent = self._unsent[self._write(self._unsent) :]
+            if self._unsent:
                 return False
         written = self._write(data)
         if not written:
             return False
-        self._rest = data[written:]
+        self._unsent = data[written:]
         return True
 
     def _write(self, data: bytes) -> int:
@@ -82,7 +82,7 @@
 
     def _report(self) -> None:
         line = msgspec.json.encode({"event": "log_dropped", "lines": self.dropped})
-        if self._push(line + b"\n"):
+        if self._write_all(line + b"\n"):
             self.dropped = 0
             self._reported_at = now()
 
--- a/packages/serving/bergamotsaddle_serving/messages.py
+++ b/packages/serving/bergamotsaddle_serving/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the parts of the core and the adapter of a platform."""
+"""Typed messages between the serving core and the adapter of a platform."""
 
 from collections.abc import Sequence
 from enum import StrEnum
@@ -11,29 +11,34 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that several requests may share."""
+    """A section of a prompt that several requests may share.
+
+    Attributes:
+        id: Id of the section; equal sections have equal ids.
+        tokens: Its length in tokens.
+    """
 
     id: str
     tokens: int
 
 
 class RequestHead(NamedTuple):
-    """The head of a caller's request, decoded.
+    """The decoded head of a caller's request.
 
     Attributes:
-        id: The caller's own id for this attempt.
+        id: The caller's id for this attempt.
         method: HTTP method.
         path: Path and query exactly as received.
-        host: Host that the request names.
+        host: Host name that the request is addressed to.
         key: API key, empty if there is none.
         deadline: Seconds that the caller will wait.
-        prompt: Parts of the prompt in order, empty unless it goes to an engine.
-        prompt_tokens: Tokens of the prompt.
-        output_tokens: Tokens that will be generated at most.
+        prompt: Sections of the prompt in order, empty unless an engine serves it.
+        prompt_tokens: Length of the prompt in tokens.
+        output_tokens: Maximum number of tokens to generate.
         pieces: Number of pieces of each stage.
-        piece_key: What first stages need to know of the request.
-        last_event_id: Where a stream is to go on, None for its start.
-        forwarded: Headers to pass on unchanged.
+        piece_key: Input of the stages without predecessors.
+        last_event_id: Event after which a stream resumes, None to start it.
+        forwarded: Headers to forward unchanged.
     """
 
     id: str
@@ -52,15 +57,15 @@
 
 
 class Dispatch(NamedTuple):
-    """What a target is told beside the caller's own request.
+    """What a target receives in addition to the caller's request.
 
     Attributes:
-        target: Who is meant; any other target refuses.
-        remaining: Seconds that are left.
-        team: Whose request it is, None on public routes.
-        priority: Urgency, 0 first.
+        target: The intended target; any other target rejects the request.
+        remaining: Seconds until the request's deadline.
+        team: Team that sent the request, None on public routes.
+        priority: Urgency of the request, 0 first.
         inputs: Handles of the results that the request needs.
-        last_event_id: Where a stream is to go on, None for its start.
+        last_event_id: Event after which a stream resumes, None to start it.
     """
 
     target: Target
@@ -72,7 +77,7 @@
 
 
 class TargetLoad(NamedTuple):
-    """A target's own count of its requests."""
+    """A target's own count of its requests, and of the ones it can run at once."""
 
     running: int
     waiting: int
@@ -80,16 +85,19 @@
 
 
 class ResponseHead(NamedTuple):
-    """What the headers of a target's answer say.
+    """The decoded headers of a target's response.
 
     Attributes:
-        request_id: Id of the request that it answers, empty if not told.
-        is_sealed: Whether the target signed it.
+        request_id: Id of the request that it responds to, empty if not given.
+        is_signed: Whether the target signed the response.
         not_run: Whether the target states that it did not run the request.
-        load: Its load, None if not told.
-        keep_seconds: How long an idle connection is kept, None if not told.
-        is_encoded: Whether the body is in some encoding and thus not the target's.
-        limit: Requests a second that it takes from all instances, None if not told.
+        load: Load of the target, None if not given.
+        keep_alive_seconds: How long the target keeps an idle connection open, None if
+            not given.
+        is_encoded: Whether the body has a content encoding. Targets apply none, so it
+            comes from an intermediary.
+        limit: Requests per second that the target accepts from all instances together,
+            None if not given.
     """
 
     request_id: str
@@ -106,11 +114,11 @@
 
     Attributes:
         request: Id of the request.
-        stage: Number of the stage.
+        stage: Index of the stage.
         number: Number of the piece within the stage.
         key: The request's piece key, for a stage without predecessors.
-        inputs: Handles of the results that it needs, else.
-        remaining: Seconds after which the result is of no use.
+        inputs: Handles of the input results, for a stage with predecessors.
+        remaining: Seconds after which the result is useless.
     """
 
     request: str
@@ -122,7 +130,7 @@
 
 
 class PieceFailure(StrEnum):
-    """Why a piece has no result; the first four are said by targets."""
+    """Reason why a piece has no result. Targets report the first four."""
 
     ERROR = "error"
     GONE = "gone"
@@ -134,19 +142,19 @@
 
 
 class PieceResult(NamedTuple):
-    """How one piece ended: a handle to its result, or why there is none."""
+    """The handle of one piece's result, or the reason why there is none."""
 
     handle: str
     reason: PieceFailure | None = None
 
 
 class StoreEntry(NamedTuple):
-    """One item of the platform's store: a target, an evacuation or the configuration.
+    """One entry of the platform's store: a target, an evacuation or the configuration.
 
     Attributes:
-        key: Its key in the store.
-        revision: When it changed last, in the store's own count.
-        value: What it holds, None if it was deleted.
+        key: Key of the entry.
+        revision: Store revision of its last change.
+        value: Encoded value, None if the entry was deleted.
     """
 
     key: str
@@ -155,11 +163,11 @@
 
 
 class StorePage(NamedTuple):
-    """A page of items, or of changes.
+    """A page of store entries, or of changes to them.
 
     Attributes:
-        entries: Items in order.
-        revision: The store's revision when it was read.
+        entries: Entries in order.
+        revision: Store revision at which the page was read.
         has_more: Whether more pages follow.
     """
 
@@ -169,13 +177,13 @@
 
 
 class Evacuation(NamedTuple):
-    """The operators' wish that a zone's targets get nothing."""
+    """An operators' order to send no requests to the targets of a zone."""
 
     zone: str
 
 
 class HttpCall(NamedTuple):
-    """A call to a target or the store, ready to be sent."""
+    """An HTTP request to a target or to the store, ready to be sent."""
 
     method: bytes
     path: bytes
@@ -187,52 +195,71 @@
 
 
 class Dialect(Protocol):
-    """What the core asks of a platform's adapter: names, formats and calls."""
+    """Interface of a platform's adapter: its names, formats and calls."""
 
     def read_head(
         self, method: bytes, path: bytes, headers: Sequence[tuple[bytes, bytes]]
     ) -> RequestHead:
-        """Decode a caller's request; raises RequestError if it is improper."""
+        """Decode the head of a caller's request.
+
+        Raises:
+            RequestError: If the request is invalid.
+        """
 
     def forward(self, head: RequestHead, dispatch: Dispatch, size: int) -> RawHeaders:
-        """Headers of the request as a target gets it."""
+        """Return the headers with which the request is sent to a target."""
 
     def read_response(self, headers: Sequence[tuple[bytes, bytes]]) -> ResponseHead:
-        """Decode the headers of a target's answer."""
+        """Decode the headers of a target's response."""
 
     def run_pieces(self, pieces: Sequence[Piece], target: Target) -> HttpCall:
-        """Make the call that has a stage target work on pieces."""
+        """Make the call that runs pieces at a stage target."""
 
     def read_results(self, body: bytes) -> list[PieceResult]:
-        """Decode its answer; raises ValueError if it is none."""
+        """Decode the response to ``run_pieces``.
+
+        Raises:
+            ValueError: If the body is malformed.
+        """
 
     def release_results(self, handles: Sequence[str], target: Target) -> HttpCall:
-        """Make the call that gives up results."""
+        """Make the call that releases results at the target that holds them."""
 
     def query_free_memory(self, target: Target) -> HttpCall:
-        """Make the call that asks a stage target for its free room."""
+        """Make the call that queries a stage target's free memory for results."""
 
     def read_free_memory(self, body: bytes) -> float:
-        """Decode its answer to the bytes that are free at most.
+        """Decode the response to ``query_free_memory``.
+
+        Returns:
+            An upper bound of the free memory in bytes.
 
         Raises:
-            ValueError: If it is none.
+            ValueError: If the body is malformed.
         """
 
     def result_address(self, handle: str) -> Address:
-        """Address of the target that holds a result."""
+        """Return the address of the target that holds a result."""
 
     def list_entries(self, after: str) -> HttpCall:
-        """Make the call that reads a page of the store."""
+        """Make the call that reads the page of store entries after a key."""
 
     def watch_entries(self, after: int, wait: float) -> HttpCall:
         """Make the call that waits for changes after a revision."""
 
     def read_page(self, body: bytes) -> StorePage:
-        """Decode a page; raises ValueError if it is none."""
+        """Decode a page of entries or changes.
+
+        Raises:
+            ValueError: If the body is malformed.
+        """
 
     def target_id(self, key: str) -> str | None:
-        """Id of the target that an entry of the store tells of, None if it is none."""
+        """Return the id of the target with a store key, None for other keys."""
 
     def decode(self, entry: StoreEntry) -> Decoded | None:
-        """Decode an item; None if it is of no concern, ValueError if malformed."""
+        """Decode a store entry; return None for an entry that the core does not use.
+
+        Raises:
+            ValueError: If the entry is malformed.
+        """
--- a/packages/serving/bergamotsaddle_serving/metrics.py
+++ b/packages/serving/bergamotsaddle_serving/metrics.py
@@ -21,7 +21,7 @@
     read: Callable[[], float]
 
 
-class _Durations:
+class _Histogram:
     """How long the requests of one route took."""
 
     def __init__(self) -> None:
@@ -48,13 +48,13 @@
 
     def __init__(self) -> None:
         self._requests: Counter[tuple[str, str]] = Counter()
-        self._durations_by_route: dict[str, _Durations] = {}
+        self._durations_by_route: dict[str, _Histogram] = {}
         self._gauges: list[_Gauge] = []
 
     def count_request(self, route: str, outcome: str, seconds: float) -> None:
         """Count a request that has ended."""
         self._requests[route, outcome] += 1
-        self._durations_by_route.setdefault(route, _Durations()).add(seconds)
+        self._durations_by_route.setdefault(route, _Histogram()).add(seconds)
 
     def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
         """Show a figure that is read whenever the page is."""
--- a/packages/serving/bergamotsaddle_serving/peer_messages.py
+++ b/packages/serving/bergamotsaddle_serving/peer_messages.py
@@ -1,4 +1,7 @@
-"""Datagrams between the instances, as MessagePack arrays."""
+"""Datagrams that instances send each other, encoded as MessagePack arrays.
+
+The first item of each array is the datagram's tag, then its fields follow in order.
+"""
 
 import msgspec
 
@@ -6,11 +9,17 @@
 
 
 class Message(msgspec.Struct, tag=True, array_like=True, frozen=True):
-    """Base of all datagrams."""
+    """Base class of all datagrams."""
 
 
 class Contact(msgspec.Struct, array_like=True, frozen=True):
-    """Where an instance is reached."""
+    """Identity and address of an instance.
+
+    Attributes:
+        id: Id of the instance.
+        zone: Its availability zone.
+        host: Its IP address.
+    """
 
     id: str
     zone: str
@@ -18,24 +27,26 @@
 
 
 class Heartbeat(Message, tag="Hello"):
-    """A heartbeat.
+    """The periodic state report of an instance.
 
     Attributes:
-        sender: Who sends it.
-        life: Random name of its process's life.
-        takes_work: Whether it takes work for others: not before its view is complete,
-            and not while it stops.
-        revision: Up to which its view knows the store.
-        loads: Load of each stage queue that it owns, by service: seconds until what
-            waits is done for each urgency from 0 on, call time, pieces a second.
-        coming: Pieces of its admitted requests that will come to a stage later:
-            service, zone, number by urgency.
-        running: Requests that it has at each engine.
-        reading: Prompt tokens of its requests that each engine has still to read.
-        strength: How much work for others its machine can do, in cores.
-        contacts: Other instances that it has heard lately.
-        missed: Ids of instances that did not answer it lately.
-        digest: Digest of the facts that it holds.
+        sender: Contact of the instance that sends it.
+        incarnation: Random id that the instance's process chose at its start.
+        accepts_work: Whether the instance accepts work from other instances. It does
+            not before its view is complete, nor while it stops.
+        revision: Store revision up to which its view is complete.
+        loads: Load of each stage queue that it owns, by service: seconds until the
+            waiting pieces are done for each urgency from 0 on, seconds per call, and
+            pieces per second.
+        pending: Pieces of its admitted requests that will reach a stage later, as
+            service, scope and count by urgency.
+        running: Number of its requests that run at each engine, by target id.
+        prefill_tokens: Prompt tokens of its requests that each engine has still to
+            process, by target id.
+        cores: Processor cores that it can spend on work for other instances.
+        contacts: Other instances that it received a heartbeat from lately.
+        unresponsive: Ids of instances that did not respond to it lately.
+        digest: Digest of the gossip facts that it holds.
     """
 
     sender: Contact
@@ -53,13 +64,13 @@
 
 
 class Fact(msgspec.Struct, array_like=True, frozen=True):
-    """Something that an instance observed.
+    """A gossip fact: a value that some instance observed for a key.
 
     Attributes:
-        topic: What kind of fact it is.
-        key: What it is about.
-        value: What holds.
-        age: Seconds since it was observed.
+        topic: Name of the topic that the fact belongs to.
+        key: Key of the fact within its topic.
+        value: The observed value.
+        age: Seconds since the observation.
     """
 
     topic: str
@@ -69,24 +80,24 @@
 
 
 class GossipUpdate(Message, tag="News"):
-    """Facts that the receiver may not know."""
+    """Gossip facts that the receiver may not have yet."""
 
     facts: list[Fact]
 
 
 class HeartbeatRequest(Message, tag="Inquiry"):
-    """Asks for a heartbeat at once."""
+    """Asks the receiver to send a heartbeat at once."""
 
 
 class RateRequest(Message, tag="RateAsk"):
     """Asks the owner of a shared rate for a permit.
 
     Attributes:
-        number: The sender's number for the question.
-        key: What the rate is for.
-        scope: The zone whose instances own it.
-        rate: Permits a second, for all instances together.
-        urgency: Of the request, 0 first.
+        number: Number of this request at its sender.
+        key: Key of the shared rate.
+        scope: Zone whose instances may own the rate.
+        rate: Permits per second for all instances together.
+        urgency: Urgency of the caller's request, 0 first.
     """
 
     number: int
@@ -97,11 +108,11 @@
 
 
 class RateResponse(Message, tag="RateAnswer"):
-    """The owner's answer.
+    """The owner's response to a ``RateRequest``.
 
     Attributes:
-        number: Number of the question.
-        wait: 0 if there is a permit, else the seconds after which to ask again.
+        number: Number of the request.
+        wait: 0 if a permit is granted, otherwise seconds until the next attempt.
     """
 
     number: int
@@ -109,29 +120,29 @@
 
 
 class Submit(Message):
-    """Pieces of one stage of a request, for the owner of a stage queue.
+    """Submits pieces of one stage of a request to the owner of a stage queue.
 
-    Sent again and again while the sender waits: it is the sender's sign of life, and
-    has a lost result sent once more.
+    The sender repeats it while it waits. Each repetition shows the owner that the
+    sender is still alive, and makes the owner send a lost result again.
 
     Attributes:
         request: Id of the request.
-        stage: Number of the stage.
-        service: Stage service that does it.
-        numbers: Numbers of the pieces that are missing.
+        stage: Index of the stage.
+        service: Service that runs the stage.
+        numbers: Numbers of the pieces whose results the sender does not have.
         key: The request's piece key, for a stage without predecessors.
-        inputs: Handles of the results that it needs, else.
-        urgency: 0 first.
-        has_begun: Whether earlier stages of the request have run.
-        result_bytes: Approximate size of a result.
+        inputs: Handles of the input results, for a stage with predecessors.
+        urgency: Urgency of the request, 0 first.
+        has_started: Whether earlier stages of the request have run.
+        result_bytes: Approximate size of one result.
         input_bytes: Approximate size of all inputs together.
-        zone: Where the result is needed.
-        objective: Seconds until the result should be there for the request to be on
-            time.
-        remaining: Seconds after which the result is of no use.
-        round: Counts how often the sender had to begin the stage anew. Pieces of
-            another round are other pieces: their inputs are gone or given up.
-        work: Fingerprint of the request.
+        zone: Zone in which the result is needed.
+        objective: Seconds within which the result keeps the request on time.
+        remaining: Seconds after which the result is useless.
+        round: How many times the sender has restarted the stage. Pieces of different
+            rounds are distinct, because the inputs of an earlier round are lost or
+            released.
+        fingerprint: Fingerprint of the request.
     """
 
     request: str
@@ -152,15 +163,15 @@
 
 
 class Accepted(Message):
-    """The owner's answer to a submission: the pieces are in its queue.
+    """Confirms that the pieces of a ``Submit`` are in the owner's queue.
 
     Attributes:
         request: Id of the request.
-        stage: Number of the stage.
-        number: Number of the first piece that was asked for.
-        round: That of the submission.
-        service: The stage service.
-        load: Load of its queue, as in a heartbeat.
+        stage: Index of the stage.
+        number: Number of the first submitted piece.
+        round: Round of the submission.
+        service: Service that runs the stage.
+        load: Load of the queue, as in ``Heartbeat.loads``.
     """
 
     request: str
@@ -172,7 +183,7 @@
 
 
 class PieceOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """How one piece ended: a handle to its result, or why there is none."""
+    """The handle of one piece's result, or the reason why there is none."""
 
     number: int
     handle: str
@@ -180,7 +191,7 @@
 
 
 class Results(Message):
-    """Results of pieces of one round."""
+    """Outcomes of pieces of one round of a stage."""
 
     request: str
     stage: int
@@ -189,7 +200,7 @@
 
 
 class Started(Message):
-    """A target works on pieces and has fetched their inputs."""
+    """Reports that a target runs pieces and has fetched their inputs."""
 
     request: str
     stage: int
@@ -198,13 +209,13 @@
 
 
 class Cancel(Message):
-    """The request has ended: its pieces are not needed any more."""
+    """Withdraws all pieces of a request that has ended."""
 
     request: str
 
 
 class Release(Message):
-    """Results that nobody needs any more."""
+    """Releases results that no request needs any longer."""
 
     service: str
     handles: list[str]
@@ -229,14 +240,14 @@
 
 
 def encode(message: Message) -> bytes:
-    """Turn a message into a datagram."""
+    """Encode a message as a datagram."""
     return _encoder.encode(message)
 
 
 def decode(datagram: bytes) -> Datagram:
-    """Turn a datagram into a message.
+    """Decode a datagram.
 
     Raises:
-        msgspec.DecodeError: If it is none.
+        msgspec.DecodeError: If it is not a valid message.
     """
     return _decoder.decode(datagram)
--- a/packages/serving/bergamotsaddle_serving/probe.py
+++ b/packages/serving/bergamotsaddle_serving/probe.py
@@ -48,7 +48,9 @@
         event = connection.next_event()
     status, body = page()
     headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(body))]
-    answer = connection.send(h11.Response(status_code=status, headers=headers))
-    answer += connection.send(h11.Data(data=body)) + connection.send(h11.EndOfMessage())
-    sock.sendall(answer)
+    response = connection.send(h11.Response(status_code=status, headers=headers))
+    response += connection.send(h11.Data(data=body)) + connection.send(
+        h11.EndOfMessage()
+    )
+    sock.sendall(response)
     return connection.our_state is h11.DONE
--- a/packages/serving/bergamotsaddle_serving/rate_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/rate_exchange.py
@@ -1,4 +1,4 @@
-"""Carries questions for permits to the owners of shared rates."""
+"""Requests permits from the owners of shared rates, and serves such requests."""
 
 from collections import OrderedDict
 from itertools import count
@@ -11,17 +11,18 @@
 from bergamotsaddle_serving.peers import Peers
 from bergamotsaddle_serving.shared_rate import RateOwner
 
-# Several trips between zones; a lost datagram is asked once more.
-_ANSWER_LIMIT_S = 0.04
-_TRIES = 2
-# Until the death of an owner is known, or two instances agree on who owns a rate.
-_UNSETTLED_S = 0.2
-# Answers that are repeated for a question that comes twice.
-_MOST_ANSWERED = 512
+# Several round trips between zones; after it a lost datagram is sent once more.
+_RESPONSE_TIMEOUT_S = 0.04
+_MAX_ATTEMPTS = 2
+# How long a caller waits until the crash of an owner is detected, or until two
+# instances agree on the owner of a rate.
+_RETRY_DELAY_S = 0.2
+# Number of responses that are kept, to be repeated for a request that arrives twice.
+_MAX_REMEMBERED = 512
 
 
 class RateExchange:
-    """Asks the owner of a rate for permits, and answers as an owner.
+    """Requests permits from the owner of a rate, and grants them as an owner.
 
     Args:
         peers: The other instances.
@@ -32,57 +33,59 @@
         self._peers = peers
         self._owner = owner
         self._numbers = count(1)
-        self._answer_by_number: dict[int, Event] = {}
-        self._answered: OrderedDict[tuple[str, int], RateResponse] = OrderedDict()
-        peers.set_handler(RateRequest, self._serve)
-        peers.set_handler(RateResponse, lambda message, _: self._take(message))
+        self._pending_by_number: dict[int, Event] = {}
+        self._sent_responses: OrderedDict[tuple[str, int], RateResponse] = OrderedDict()
+        peers.set_handler(RateRequest, self._handle_request)
+        peers.set_handler(
+            RateResponse, lambda message, _: self._handle_response(message)
+        )
 
     def request_permit(self, key: str, scope: str, rate: float, urgency: int) -> float:
-        """Ask for a permit.
+        """Request a permit from the owner of a rate.
 
         Args:
-            key: What the rate is for.
-            scope: The zone whose instances own it, if there are any.
-            rate: Permits a second, for all instances together.
-            urgency: Of the request, 0 first.
+            key: Key of the shared rate.
+            scope: Zone whose instances own the rate, if there are any.
+            rate: Permits per second for all instances together.
+            urgency: Urgency of the caller's request, 0 first.
 
         Returns:
-            0 if there is one, else the seconds after which to ask again.
+            0 if a permit is granted, otherwise seconds until the next attempt.
         """
         owner = self._owner_of(key, scope)
         if owner == self._peers.own.id:
             return self._owner.request_permit(key, rate, urgency)
-        question = RateRequest(next(self._numbers), key, scope, rate, urgency)
-        answer = self._answer_by_number[question.number] = Event()
+        request = RateRequest(next(self._numbers), key, scope, rate, urgency)
+        response = self._pending_by_number[request.number] = Event()
         try:
-            for _ in range(_TRIES):
-                self._peers.send(owner, question)
-                with eventlet.Timeout(_ANSWER_LIMIT_S, False):
-                    return answer.wait()
+            for _ in range(_MAX_ATTEMPTS):
+                self._peers.send(owner, request)
+                with eventlet.Timeout(_RESPONSE_TIMEOUT_S, False):
+                    return response.wait()
         finally:
-            del self._answer_by_number[question.number]
+            del self._pending_by_number[request.number]
         self._peers.verify(owner)
-        return _UNSETTLED_S
+        return _RETRY_DELAY_S
 
     def _owner_of(self, key: str, scope: str) -> str:
         return next(iter(rank_owners(self._peers, key, scope)), self._peers.own.id)
 
-    def _serve(self, message: RateRequest, address: tuple[str, int]) -> None:
-        question = (address[0], message.number)
-        answer = self._answered.get(question)
-        if answer is None:
-            answer = RateResponse(message.number, self._decide(message))
-            self._answered[question] = answer
-            if len(self._answered) > _MOST_ANSWERED:
-                self._answered.popitem(last=False)
-        self._peers.send_to(address, answer)
+    def _handle_request(self, message: RateRequest, address: tuple[str, int]) -> None:
+        request_key = (address[0], message.number)
+        response = self._sent_responses.get(request_key)
+        if response is None:
+            response = RateResponse(message.number, self._decide(message))
+            self._sent_responses[request_key] = response
+            if len(self._sent_responses) > _MAX_REMEMBERED:
+                self._sent_responses.popitem(last=False)
+        self._peers.send_to(address, response)
 
     def _decide(self, message: RateRequest) -> float:
         if self._owner_of(message.key, message.scope) != self._peers.own.id:
-            return _UNSETTLED_S
+            return _RETRY_DELAY_S
         return self._owner.request_permit(message.key, message.rate, message.urgency)
 
-    def _take(self, message: RateResponse) -> None:
-        answer = self._answer_by_number.get(message.number)
-        if answer is not None and not answer.ready():
-            answer.send(message.wait)
+    def _handle_response(self, message: RateResponse) -> None:
+        response = self._pending_by_number.get(message.number)
+        if response is not None and not response.ready():
+            response.send(message.wait)
--- a/packages/serving/bergamotsaddle_serving/server.py
+++ b/packages/serving/bergamotsaddle_serving/server.py
@@ -1,4 +1,4 @@
-"""The process of a serving daemon: its parts, sockets, signals and its end."""
+"""The process of a serving daemon: its components, sockets, signals and shutdown."""
 
 import gc
 import secrets
@@ -51,16 +51,17 @@
 _BACKLOG = 512
 _OK = 200
 _UNAVAILABLE = 503
-# The balancer asks once a second and takes an instance out after two misses; callers
-# that it still sends here until then must find the listener open.
-_NOTICE_S = 2.6
-_STOP_STEP_S = 0.02
-# The process ends this long before it would be killed.
+# The load balancer probes once a second and removes an instance after two failures.
+# Until then it still sends callers here, so the listener has to stay open.
+_STOP_NOTICE_S = 2.6
+_STOP_POLL_S = 0.02
+# The process exits this long before it would be killed.
 _STOP_MARGIN_S = 0.8
-# For the last answers to leave.
-_ANSWER_S = 0.1
-_TICK_S = 0.5
-# Two rounds of heartbeats and the answers: a seed names the others in its answer.
+# Time for the last responses to be sent.
+_FLUSH_S = 0.1
+_TICK_INTERVAL_S = 0.5
+# Two rounds of heartbeats and the responses to them: the response of a seed contains
+# the contacts of the other instances.
 SETTLE_S = 0.5
 _RESTART_PAUSE_S = 0.5
 
@@ -69,8 +70,8 @@
     """One serving daemon.
 
     Args:
-        path: Path of its settings.
-        dialect: The platform's names, formats and calls.
+        path: Path of the settings file.
+        dialect: Names, formats and calls of the platform.
 
     Raises:
         InvalidFileError: If the settings are invalid.
@@ -82,10 +83,10 @@
         self._output = BoundedOutput(_STDOUT)
         self.logger = make_logger(self.settings.instance.id, self._output)
         self._dialect = dialect
-        self._asked_to_stop = Event()
-        self._asked_to_reload = False
+        self._stop_requested = Event()
+        self._reload_requested = False
         self._stopping = False
-        self._began_at = now()
+        self._started_at = now()
         self._build()
 
     def _build(self) -> None:
@@ -181,9 +182,9 @@
         if policy.has(Mechanism.SHARED_READING):
             self.peers.own_prefill_tokens = self.health.prefill_tokens
         self.peers.own_revision = lambda: self.view.revision
-        self.view.subscribe(self._note_view)
+        self.view.subscribe(self._update_accepts_work)
         self.view.subscribe(self.owner.open_queues)
-        self.view.subscribe(self._forget_targets)
+        self.view.subscribe(self._forget_unlisted_targets)
         self._add_gauges()
         self.usage = UsageMeter(
             {
@@ -195,17 +196,17 @@
         )
 
     def run(self) -> None:
-        """Serve until told to stop, then stop gracefully."""
-        signal.signal(signal.SIGTERM, self._note_term)
-        signal.signal(signal.SIGINT, self._note_term)
-        signal.signal(signal.SIGHUP, self._note_hup)
+        """Serve until a signal requests a stop, then stop gracefully."""
+        signal.signal(signal.SIGTERM, self._handle_term_signal)
+        signal.signal(signal.SIGINT, self._handle_term_signal)
+        signal.signal(signal.SIGHUP, self._handle_hup_signal)
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
         listen = self.settings.listen
         host = self.settings.instance.host
         callers = eventlet.listen(tuple(listen.callers), backlog=_BACKLOG)
         ready = eventlet.listen(tuple(listen.ready))
         metrics = eventlet.listen((host, listen.metrics_port))
-        for work in (
+        for loop in (
             self.peers.receive,
             self.peers.run,
             self.follower.run,
@@ -213,20 +214,21 @@
             self.reach.run,
             self._tick,
         ):
-            eventlet.spawn_n(self._keep_running, work)
+            eventlet.spawn_n(self._run_supervised, loop)
         eventlet.spawn_n(serve_page, ready, self._ready_page)
         eventlet.spawn_n(serve_page, metrics, lambda: (_OK, self.metrics.page()))
         eventlet.spawn_n(self._accept, callers)
-        # What was loaded lives as long as the process; collections need not visit it.
+        # Objects loaded so far live as long as the process, so the garbage collector
+        # need not visit them.
         gc.freeze()
         self.logger.info(
             "started", life=self.peers.incarnation, callers=str(listen.callers)
         )
-        self._asked_to_stop.wait()
+        self._stop_requested.wait()
         self._stop(callers)
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         return self.view.is_complete() and not self._stopping
 
     def _ready_page(self) -> tuple[int, bytes]:
@@ -239,28 +241,28 @@
             except OSError as error:
                 if self._stopping:
                     return
-                # Out of descriptors, most likely; callers wait in the backlog.
+                # Most likely out of file descriptors; callers wait in the backlog.
                 self.logger.warning("accept_failed", reason=str(error))
-                eventlet.sleep(_STOP_STEP_S)
+                eventlet.sleep(_STOP_POLL_S)
                 continue
             caller = CallerConnection(sock, self.handler.limits, lambda: self._stopping)
             eventlet.spawn_n(self.handler.run, caller)
 
     def _stop(self, listener: socket.socket) -> None:
-        began_at = now()
+        started_at = now()
         self._stopping = True
         self.peers.accepts_work = False
         self.peers.send_heartbeats()
         self.owner.hand_over(is_final=True)
         self.logger.info("stopping", active=self.handler.active)
-        eventlet.sleep(_NOTICE_S)
+        eventlet.sleep(_STOP_NOTICE_S)
         listener.close()
-        limit = began_at + self.settings.bounds.grace - _STOP_MARGIN_S
+        limit = started_at + self.settings.bounds.grace - _STOP_MARGIN_S
         while now() < limit and self._is_busy():
             self._close_idle()
-            eventlet.sleep(_STOP_STEP_S)
+            eventlet.sleep(_STOP_POLL_S)
         self.handler.abort_all()
-        eventlet.sleep(_ANSWER_S)
+        eventlet.sleep(_FLUSH_S)
         self._close_idle()
         self.logger.info("stopped", active=self.handler.active)
 
@@ -274,11 +276,11 @@
 
     def _tick(self) -> None:
         while True:
-            due_at = now() + _TICK_S
-            eventlet.sleep(_TICK_S)
+            due_at = now() + _TICK_INTERVAL_S
+            eventlet.sleep(_TICK_INTERVAL_S)
             self.usage.record_delay(now() - due_at)
             self._report_usage()
-            self._note_view()
+            self._update_accepts_work()
             self.pool.prune()
             self.view.drop_lapsed()
             self.gossip.drop_expired()
@@ -286,8 +288,8 @@
             self.owner.hand_over()
             self.owner.drop_orphans()
             self.stage_exchange.resend_releases()
-            if self._asked_to_reload:
-                self._asked_to_reload = False
+            if self._reload_requested:
+                self._reload_requested = False
                 self._reload()
 
     def _report_usage(self) -> None:
@@ -307,48 +309,49 @@
         except (OSError, InvalidFileError) as error:
             self.logger.warning("reload_failed", reason=str(error))
             return
-        # Addresses stay as they are while the process lives; what else there is
-        # takes effect at the next start.
+        # The settings are only validated here. Addresses can't change while the process
+        # runs, and all other settings take effect at the next start.
         self.logger.info("reloaded", is_changed=settings != self.settings)
 
-    def _note_view(self) -> None:
-        # An instance that has just started knows no targets yet; as an owner it would
-        # turn every piece away. Nor has it heard the others: after a restart of all,
-        # each would take itself for the owner of everything.
-        is_settled = now() - self._began_at >= SETTLE_S
+    def _update_accepts_work(self) -> None:
+        # An instance that has just started has no targets in its view yet; as an owner
+        # it would reject every piece. It has received no heartbeats either: after a
+        # restart of the whole fleet, each instance would see itself as the owner of all
+        # queues.
+        is_settled = now() - self._started_at >= SETTLE_S
         self.peers.accepts_work = is_settled and self.is_ready()
 
-    def _forget_targets(self) -> None:
-        lives = {
+    def _forget_unlisted_targets(self) -> None:
+        incarnations = {
             known.target.incarnation
             for group in self.view.targets_by_service.values()
             for known in group
         }
-        self.health.keep_only(lives)
-        self.limits.keep_only(lives)
-        self.rates.keep_only(lives)
+        self.health.keep_only(incarnations)
+        self.limits.keep_only(incarnations)
+        self.rates.keep_only(incarnations)
 
-    def _keep_running(self, work: Any) -> None:
-        # An error nobody thought of would end the green thread, and this instance
-        # would serve on without hearing of any change; the log line tells of it.
+    def _run_supervised(self, loop: Any) -> None:
+        # An unexpected error would end the green thread, and this instance would go on
+        # serving without its updates. The error is logged and the loop restarted.
         while True:
             try:
-                work()
+                loop()
             except Exception:
-                self.logger.exception("restarting", work=work.__qualname__)
+                self.logger.exception("restarting", work=loop.__qualname__)
             eventlet.sleep(_RESTART_PAUSE_S)
 
-    def _note_term(self, *_: object) -> None:
-        # A signal handler runs between any two lines of some green thread, so it
-        # only leaves a note that the hub picks up.
-        eventlet.spawn_n(self._ask_to_stop)
+    def _handle_term_signal(self, *_: object) -> None:
+        # A signal handler may run between any two lines of a green thread, so it only
+        # schedules the request at the hub.
+        eventlet.spawn_n(self._request_stop)
 
-    def _ask_to_stop(self) -> None:
-        if not self._asked_to_stop.ready():
-            self._asked_to_stop.send()
+    def _request_stop(self) -> None:
+        if not self._stop_requested.ready():
+            self._stop_requested.send()
 
-    def _note_hup(self, *_: object) -> None:
-        self._asked_to_reload = True
+    def _handle_hup_signal(self, *_: object) -> None:
+        self._reload_requested = True
 
     def _add_gauges(self) -> None:
         gauge = self.metrics.add_gauge
--- a/packages/serving/bergamotsaddle_serving/view_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/view_exchange.py
@@ -1,4 +1,4 @@
-"""Takes from peers what the store does not tell this instance."""
+"""Exchanges view changes with peers, for instances that the store does not serve."""
 
 import socket
 from collections.abc import Callable
@@ -17,34 +17,36 @@
 from bergamotsaddle_serving.settings import ServingSettings
 from bergamotsaddle_serving.view import View
 
-_CHECK_S = 0.3
-# The same before this instance knows what it needs to serve.
-_FIRST_CHECK_S = 0.1
-# A peer that is ahead for this long knows what the store has not told us.
-_BEHIND_S = 0.4
-# What a watch takes besides the pause before it.
-_READ_S = 0.2
-_EXCHANGE_LIMIT_S = 0.6
-# A peer that follows this one asks again as soon as it has taken the answer.
-_IDLE_LIMIT_S = 5.0
-# How long a question is held at most.
-_MOST_WAIT_S = 2.0
-# Asks for all entries.
-_NOTHING = -1
-_MAX_BYTES = 16_000_000
+_CHECK_INTERVAL_S = 0.3
+# The same until the view has its first snapshot.
+_STARTUP_CHECK_INTERVAL_S = 0.1
+# If a peer has been ahead for this long, it has changes that the store does not deliver
+# to this instance.
+_MIN_LAG_S = 0.4
+# Duration of a watch, without the pause before it.
+_WATCH_S = 0.2
+_EXCHANGE_TIMEOUT_S = 0.6
+# A peer that follows this instance sends its next request as soon as it has applied the
+# response.
+_IDLE_TIMEOUT_S = 5.0
+# Maximum time for which a request waits for a change.
+_MAX_WAIT_S = 2.0
+# Revision before the first one: requests all entries.
+_NO_REVISION = -1
+_MAX_FRAME_BYTES = 16_000_000
 _LENGTH_BYTES = 4
 
 
 class LinkError(BergamotsaddleError):
-    """A peer did not answer a question about its view."""
+    """A peer did not answer a ``ViewRequest``."""
 
 
 class ViewRequest(msgspec.Struct, array_like=True):
-    """Asks for what a peer's view has got since a revision.
+    """Asks a peer for the changes of its view after a revision.
 
     Attributes:
-        revision: Up to which the asker knows everything.
-        wait: Seconds that the peer may wait for something newer.
+        revision: Revision up to which the sender's view is complete.
+        wait: Seconds that the peer may wait for a newer change.
     """
 
     revision: int
@@ -52,15 +54,15 @@
 
 
 class ViewResponse(msgspec.Struct, array_like=True):
-    """What a peer's view has got.
+    """The changes of a peer's view, and its state.
 
     Attributes:
-        entries: Its entries.
-        revision: Up to which it knows everything.
-        has_listed: Whether it knows all entries of the store.
-        is_whole: Whether these are all entries, so that missing ones were deleted.
-        age: Seconds since the store confirmed the view.
-        back_age: Seconds since the store came back after an outage.
+        entries: The changed entries.
+        revision: Revision up to which the peer's view is complete.
+        has_snapshot: Whether the peer's view has had a snapshot of the store.
+        is_snapshot: Whether these are all entries, so that missing ones were deleted.
+        age: Seconds since the store confirmed the peer's view.
+        regained_age: Seconds since the store returned after an outage.
         is_store_lost: Whether the peer fails to read the store.
     """
 
@@ -74,35 +76,35 @@
 
 
 class PeerLink:
-    """A connection to a peer, for one question after the other.
+    """A connection to a peer that carries one request after the other.
 
     Args:
-        contact: The peer.
-        port: Where it listens.
+        contact: Contact of the peer.
+        port: Port at which the peer listens.
 
     Raises:
-        LinkError: If it takes no connection in time.
+        LinkError: If the peer does not accept the connection in time.
     """
 
     def __init__(self, contact: Contact, port: int) -> None:
         self.contact = contact
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self._socket.settimeout(_EXCHANGE_LIMIT_S)
+        self._socket.settimeout(_EXCHANGE_TIMEOUT_S)
         try:
             self._socket.connect((contact.host, port))
         except OSError as error:
             self.close()
             raise LinkError(str(error)) from error
 
-    def query(self, question: ViewRequest) -> ViewResponse:
-        """Ask a question.
+    def query(self, request: ViewRequest) -> ViewResponse:
+        """Send a request and read its response.
 
         Raises:
-            LinkError: If no proper answer comes in time.
+            LinkError: If no valid response arrives in time.
         """
-        self._socket.settimeout(question.wait + _EXCHANGE_LIMIT_S)
+        self._socket.settimeout(request.wait + _EXCHANGE_TIMEOUT_S)
         try:
-            _send_frame(self._socket, question)
+            _send_frame(self._socket, request)
             frame = _read_frame(self._socket)
             if frame is None:
                 raise LinkError("closed")
@@ -116,17 +118,17 @@
 
 
 class ViewExchange:
-    """Asks peers that know more, and answers those that know less.
+    """Requests view changes from peers that are ahead, and serves those to peers.
 
     The store may refuse one instance and serve the others, or the link to it may be
-    cut. What it published then comes from peers, in the store's own order.
+    down. The instance then gets the published changes from peers, in the store's order.
 
     Args:
-        settings: Where peers listen.
-        view: What is known here.
-        peers: Who knows more.
-        logger: Gets a line for each exchange.
-        is_store_lost: Tells whether this instance fails to read the store.
+        settings: Address and port of this instance for peers.
+        view: View of this instance.
+        peers: The other instances.
+        logger: Logs each exchange.
+        is_store_lost: Returns whether this instance fails to read the store.
     """
 
     def __init__(
@@ -139,8 +141,8 @@
     ) -> None:
         self._view = view
         self._is_store_lost = is_store_lost
-        self._news = Event()
-        view.subscribe(self._note_news)
+        self._changed = Event()
+        view.subscribe(self._on_view_change)
         self._peers = peers
         self._logger = logger
         self._port = settings.listen.peer_port
@@ -148,36 +150,41 @@
             (settings.instance.host, self._port), backlog=64
         )
         self._behind_since: float | None = None
-        self._stood_at = 0
+        self._last_revision = 0
         eventlet.spawn_n(self._serve)
 
     def run(self) -> None:
-        """Catch up with peers for ever."""
+        """Catch up with peers that are ahead, forever."""
         while True:
-            eventlet.sleep(_CHECK_S if self._view.has_snapshot else _FIRST_CHECK_S)
-            ahead = self._ahead()
+            eventlet.sleep(
+                _CHECK_INTERVAL_S
+                if self._view.has_snapshot
+                else _STARTUP_CHECK_INTERVAL_S
+            )
+            ahead = self._find_peer_ahead()
             if ahead is None:
                 self._behind_since = None
                 continue
-            if self._behind_since is None or self._view.revision != self._stood_at:
-                # While entries change one by one somebody is always ahead; what
-                # tells a refused instance is that it gets no further itself.
+            if self._behind_since is None or self._view.revision != self._last_revision:
+                # While entries change one by one, some peer is always ahead. An
+                # instance that the store refuses differs in that its own revision
+                # does not advance.
                 self._behind_since = now()
-                self._stood_at = self._view.revision
-            if now() - self._behind_since >= self._patience() or not (
+                self._last_revision = self._view.revision
+            if now() - self._behind_since >= self._max_lag() or not (
                 self._view.has_snapshot
             ):
                 self._catch_up(ahead)
 
-    def _patience(self) -> float:
-        """Seconds that this instance may be behind before it asks a peer.
+    def _max_lag(self) -> float:
+        """Return for how many seconds this instance may be behind a peer.
 
-        In a large fleet the store is read less often, and nearly everybody is behind
-        somebody for a moment.
+        In a large fleet each instance reads the store less often, so that nearly all of
+        them are briefly behind some peer.
         """
-        return max(_BEHIND_S, batch_pause(self._peers.size()) + _READ_S)
+        return max(_MIN_LAG_S, batch_pause(self._peers.size()) + _WATCH_S)
 
-    def _ahead(self) -> Contact | None:
+    def _find_peer_ahead(self) -> Contact | None:
         own = self._view.revision
         ahead = [p for p in self._peers.alive() if p.revision > own]
         ahead.sort(key=lambda p: p.contact.zone != self._peers.own.zone)
@@ -187,83 +194,82 @@
         """Connect to a peer.
 
         Raises:
-            LinkError: If it takes no connection in time.
+            LinkError: If the peer does not accept the connection in time.
         """
         return PeerLink(contact, self._port)
 
-    def apply_response(self, answer: ViewResponse, *, source: str) -> None:
-        """Take what a peer told into the view."""
-        moment = now()
+    def apply_response(self, response: ViewResponse, *, source: str) -> None:
+        """Apply a peer's response to the view."""
+        at = now()
         view = self._view
-        # Before the entries: some may have lapsed while the store was away.
-        view.store_regained_at = max(
-            view.store_regained_at, moment - answer.regained_age
-        )
-        if answer.is_snapshot and answer.has_snapshot:
-            view.replace(answer.entries, answer.revision, source=source)
+        # Set before the entries are applied, because some may have lapsed during an
+        # outage of the store.
+        view.store_regained_at = max(view.store_regained_at, at - response.regained_age)
+        if response.is_snapshot and response.has_snapshot:
+            view.replace(response.entries, response.revision, source=source)
         else:
-            view.apply(answer.entries, answer.revision, source=source)
-        view.confirmed_at = max(view.confirmed_at, moment - answer.age)
+            view.apply(response.entries, response.revision, source=source)
+        view.confirmed_at = max(view.confirmed_at, at - response.age)
 
     def _catch_up(self, contact: Contact) -> None:
-        since = self._view.revision if self._view.has_snapshot else _NOTHING
+        since = self._view.revision if self._view.has_snapshot else _NO_REVISION
         try:
             link = self.connect(contact)
             try:
-                answer = link.query(ViewRequest(since))
+                response = link.query(ViewRequest(since))
             finally:
                 link.close()
         except LinkError as error:
             self._logger.info("peer_silent", peer=contact.id, reason=str(error))
             return
-        self.apply_response(answer, source=contact.id)
+        self.apply_response(response, source=contact.id)
         self._logger.info(
             "caught_up",
             peer=contact.id,
-            revision=answer.revision,
-            entries=len(answer.entries),
+            revision=response.revision,
+            entries=len(response.entries),
         )
 
     def _serve(self) -> None:
         while True:
             sock, _ = self._listener.accept()
-            eventlet.spawn_n(self._answer, sock)
+            eventlet.spawn_n(self._serve_connection, sock)
 
-    def _answer(self, sock: socket.socket) -> None:
-        sock.settimeout(_IDLE_LIMIT_S)
+    def _serve_connection(self, sock: socket.socket) -> None:
+        sock.settimeout(_IDLE_TIMEOUT_S)
         try:
             while (frame := _read_frame(sock)) is not None:
-                question = msgspec.msgpack.decode(frame, type=ViewRequest)
-                self._await_news(question)
-                _send_frame(sock, self._tell(question))
+                request = msgspec.msgpack.decode(frame, type=ViewRequest)
+                self._wait_for_change(request)
+                _send_frame(sock, self._make_response(request))
         except (OSError, msgspec.DecodeError) as error:
             self._logger.info("peer_question_failed", reason=str(error))
         finally:
             sock.close()
 
-    def _await_news(self, question: ViewRequest) -> None:
-        ends_at = now() + min(question.wait, _MOST_WAIT_S)
-        while self._view.revision <= question.revision and now() < ends_at:
-            with eventlet.Timeout(ends_at - now(), False):
-                self._news.wait()
+    def _wait_for_change(self, request: ViewRequest) -> None:
+        until = now() + min(request.wait, _MAX_WAIT_S)
+        while self._view.revision <= request.revision and now() < until:
+            with eventlet.Timeout(until - now(), False):
+                self._changed.wait()
 
-    def _tell(self, question: ViewRequest) -> ViewResponse:
+    def _make_response(self, request: ViewRequest) -> ViewResponse:
         view = self._view
-        changes = view.changes_since(question.revision)
-        moment = now()
+        changes = view.changes_since(request.revision)
+        at = now()
         return ViewResponse(
             entries=changes.entries,
             revision=view.revision,
             has_snapshot=view.has_snapshot,
             is_snapshot=changes.is_snapshot,
-            age=moment - view.confirmed_at,
-            regained_age=moment - view.store_regained_at,
+            age=at - view.confirmed_at,
+            regained_age=at - view.store_regained_at,
             is_store_lost=self._is_store_lost(),
         )
 
-    def _note_news(self) -> None:
-        news, self._news = self._news, Event()
-        news.send()
+    def _on_view_change(self) -> None:
+        changed, self._changed = self._changed, Event()
+        changed.send()
 
 
 def _send_frame(sock: socket.socket, message: Any) -> None:
@@ -272,22 +278,22 @@
 
 
 def _read_frame(sock: socket.socket) -> bytes | None:
-    """Read a frame; None if the connection was closed before one began."""
+    """Read a frame; return None if the connection was closed before it started."""
     head = sock.recv(_LENGTH_BYTES)
     if not head:
         return None
     head += _read_exactly(sock, _LENGTH_BYTES - len(head))
     length = int.from_bytes(head, "big")
-    if length > _MAX_BYTES:
-        raise OSError(f"a frame of {length} bytes")
+    if length > _MAX_FRAME_BYTES:
+        raise OSError(f"frame of {length} bytes is too large")
     return _read_exactly(sock, length)
 
 
 def _read_exactly(sock: socket.socket, count: int) -> bytes:
     data = b""
     while len(data) < count:
-        part = sock.recv(count - len(data))
-        if not part:
-            raise OSError("closed in the middle of a frame")
-        data += part
+        chunk = sock.recv(count - len(data))
+        if not chunk:
+            raise OSError("connection closed in the middle of a frame")
+        data += chunk
     return data
--- a/packages/serving/bergamotsaddle_serving/view_follower.py
+++ b/packages/serving/bergamotsaddle_serving/view_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the view at the store's state, through the zone's reader where there is one."""
+"""Keeps the view up to date from the store, or from the instance that reads it."""
 
 from typing import Any
 
@@ -18,29 +18,29 @@
     ViewRequest,
 )
 
-# How long a reader holds a question. One that has frozen is noticed after it.
-_WAIT_S = 1.0
-# A reader whose view the store has not confirmed for so long hears nothing any more.
-_MAX_AGE_S = MAX_WATCH_S + 0.7
-# How long a reader is left that did not answer, or knew nothing new.
-_AVOID_S = 5.0
-# An instance that has just started waits so long for others to say that they read.
+# How long a reader may hold a request. A frozen reader is noticed after this time.
+_REQUEST_WAIT_S = 1.0
+# A reader whose view the store has not confirmed for this long gets no more changes.
+_MAX_VIEW_AGE_S = MAX_WATCH_S + 0.7
+# How long a reader is avoided after it did not respond, lost the store or fell behind.
+_AVOID_READER_S = 5.0
+# How long an instance that has just started waits to learn of readers.
 _SETTLE_S = 1.0
-_SETTLE_STEP_S = 0.1
-# An instance that the store refused tries again after this.
-_OWN_AVOID_S = 1.0
+_SETTLE_INTERVAL_S = 0.1
+# How long an instance does not read the store after the store refused it.
+_AVOID_STORE_S = 1.0
 
 
 class ViewFollower:
-    """Follows the store, or the instance that reads it for this one's zone.
+    """Follows the store, or the instance that reads the store for this one's zone.
 
     Args:
         store: Reads the store itself.
-        exchange: Takes what a reader tells into the view.
-        view: What is known here.
-        peers: Who may read.
-        logger: Gets a line when the reader changes or is left.
-        policy: Whether there are readers.
+        exchange: Connects to readers and applies their responses to the view.
+        view: View of this instance.
+        peers: The other instances, among them the possible readers.
+        logger: Logs when another reader is followed or a reader is abandoned.
+        policy: Decides whether there are readers.
     """
 
     def __init__(
@@ -57,68 +57,68 @@
         self._view = view
         self._peers = peers
         self._logger = logger
-        self._began_at = now()
+        self._started_at = now()
         self._has_readers = policy.has(Mechanism.STORE_READERS)
         self._avoided_until: dict[str, float] = {}
         self._link: PeerLink | None = None
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Follow forever."""
         while True:
             self.step()
 
     def step(self) -> None:
-        """Learn of the next changes, or that there are none."""
+        """Wait for the next changes, or for the confirmation that there are none."""
         ranked = rank_owners(self._peers, STORE, self._peers.own.zone)
-        reader = self._pick(ranked)
+        reader = self._pick_reader(ranked)
         if reader is None and self._is_settling():
-            eventlet.sleep(_SETTLE_STEP_S)
+            eventlet.sleep(_SETTLE_INTERVAL_S)
         elif reader is None:
             self._close_link()
             self._read_store()
         else:
-            self._follow(reader)
+            self._follow_reader(reader)
 
     def _is_settling(self) -> bool:
-        """Tell whether readers may still turn up after a start."""
-        is_new = now() - self._began_at < _SETTLE_S
+        """Return whether readers may still become known after the start."""
+        is_new = now() - self._started_at < _SETTLE_S
         return is_new and self._has_readers and self._view.has_snapshot
 
-    def _pick(self, ranked: list[str]) -> str | None:
+    def _pick_reader(self, ranked: list[str]) -> str | None:
         if not self._has_readers or not self._view.has_snapshot:
             return None
-        moment = now()
-        avoided = {name for name, end in self._avoided_until.items() if end > moment}
+        at = now()
+        avoided = {name for name, until in self._avoided_until.items() if until > at}
         return pick_reader(ranked, self._peers.own.id, avoided)
 
     def _read_store(self) -> None:
         self._store.step()
         if self._store.is_refused():
-            self._avoid(self._peers.own.id, _OWN_AVOID_S)
+            self._avoid(self._peers.own.id, _AVOID_STORE_S)
 
-    def _follow(self, reader: str) -> None:
+    def _follow_reader(self, reader: str) -> None:
         try:
-            link = self._link_to(reader)
-            answer = link.query(ViewRequest(self._view.revision, _WAIT_S))
+            link = self._connect_to(reader)
+            response = link.query(ViewRequest(self._view.revision, _REQUEST_WAIT_S))
         except LinkError as error:
             self._close_link()
-            self._leave(reader, str(error))
+            self._abandon_reader(reader, str(error))
             self._peers.verify(reader)
             return
-        self._exchange.apply_response(answer, source=reader)
-        if answer.is_store_lost:
-            self._leave(reader, "store lost")
-        elif answer.age > _MAX_AGE_S:
-            self._leave(reader, "behind")
-
-    def _leave(self, reader: str, reason: str) -> None:
-        self._avoid(reader, _AVOID_S)
+        self._exchange.apply_response(response, source=reader)
+        if response.is_store_lost:
+            self._abandon_reader(reader, "store lost")
+        elif response.age > _MAX_VIEW_AGE_S:
+            self._abandon_reader(reader, "behind")
+
+    def _abandon_reader(self, reader: str, reason: str) -> None:
+        self._avoid(reader, _AVOID_READER_S)
         self._logger.warning("reader_left", reader=reader, reason=reason)
 
     def _avoid(self, instance: str, seconds: float) -> None:
         self._avoided_until[instance] = now() + seconds
 
-    def _link_to(self, reader: str) -> PeerLink:
+    def _connect_to(self, reader: str) -> PeerLink:
         contact = self._peers.by_id[reader].contact
         if self._link is None or self._link.contact != contact:
             self._close_link()
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -47,10 +47,10 @@
 def hear(peers, name, zone, *, accepts_work=True, cores=1.0):
     """Have an instance send a heartbeat."""
     contact = Contact(name, zone, f"127.0.1.{len(peers.by_id) + 1}")
-    hello = Heartbeat(
+    heartbeat = Heartbeat(
         contact, f"life of {name}", accepts_work, 1, {}, [], {}, {}, cores, []
     )
-    peers._handle_heartbeat(hello, ("127.0.0.1", 9))
+    peers._handle_heartbeat(heartbeat, ("127.0.0.1", 9))
 
 
 def known(zone, count):
--- a/tests/test_view_follower.py
+++ b/tests/test_view_follower.py
@@ -102,18 +102,18 @@
         self.contact = contact
         self._world = world
 
-    def query(self, question):
+    def query(self, request):
         """Ask, unless the other one is dead or frozen."""
         world, name = self._world, self.contact.id
         if name in world.dead:
             raise LinkError("reset")
         eventlet.sleep(TRIP_S)
         exchange = world.instances[name].exchange
-        exchange._await_news(question)
+        exchange._wait_for_change(request)
         if name in world.frozen:
-            eventlet.sleep(question.wait + 0.6)
+            eventlet.sleep(request.wait + 0.6)
             raise LinkError("silent")
-        answer = exchange._tell(question)
+        answer = exchange._make_response(request)
         eventlet.sleep(TRIP_S)
         return answer
 
