--- a/packages/serving/bergamotsaddle_serving/_sockets.py
+++ b/packages/serving/bergamotsaddle_serving/_sockets.py
@@ -1,4 +1,4 @@
-"""Reading from green sockets without losing the difference between end and reset."""
+"""Reads from green sockets so that a proper end and a reset can be told apart."""
 
 import socket
 
@@ -6,19 +6,19 @@
 
 
 def receive(sock: socket.socket, size: int, limit: float | None = None) -> bytes:
-    """Wait for bytes and read them; empty at the peer's proper end.
+    """Wait for bytes and read them; return no bytes at the peer's proper end.
 
-    A green socket's own method returns nothing for a reset as well as for a proper end.
-    An answer without a length ends with its connection, so one that was reset on its
-    way would be passed on as if it were whole.
+    A green socket's own method returns no bytes for a reset as well as for a proper
+    end. A response without a length ends with its connection, so one that was reset
+    halfway would be forwarded as if it were complete.
 
     Args:
         sock: A green socket.
-        size: Bytes to read at most.
-        limit: Seconds to wait at most, None for ever.
+        size: Maximum number of bytes to read.
+        limit: Maximum number of seconds to wait, None for no limit.
 
     Raises:
-        TimeoutError: If nothing came in time.
+        TimeoutError: If no data arrived in time.
         OSError: If the connection was reset or failed.
     """
     plain = sock.fd
--- a/packages/serving/bergamotsaddle_serving/caller.py
+++ b/packages/serving/bergamotsaddle_serving/caller.py
@@ -1,4 +1,4 @@
-"""A caller's connection: strict parsing, limits, and notice when the caller leaves."""
+"""Callers' connections: strict parsing, limits, and detection of disconnects."""
 
 import contextlib
 import re
@@ -25,33 +25,33 @@
 _BARE_LINE_END = re.compile(rb"(?<!\r)\n|\r(?!\n)")
 _LENGTH_LINE = re.compile(rb"\r\ncontent-length[ \t]*:", re.IGNORECASE)
 _FOLDED = re.compile(rb"\r\n[ \t]")
-# A body takes far less on any link that a deadline of seconds allows for.
+# A body takes far less on any link that is fast enough for deadlines of seconds.
 _BODY_TIMEOUT_S = 10.0
-# A caller that doesn't read its answer for this long is gone.
+# A caller that does not read its response for this long counts as gone.
 _WRITE_TIMEOUT_S = 10.0
-# Requests that a caller sends ahead are kept up to this many bytes.
+# Maximum number of bytes buffered of requests that a caller sends ahead.
 _MAX_BUFFERED = 262_144
-# Linger on, for no time: a close sends a reset instead of a proper end.
+# SO_LINGER enabled with a time of 0: closing sends a reset instead of a proper end.
 _RESET = struct.pack("ii", 1, 0)
-# A green socket that another green thread closes raises EOFError in the one that reads.
-# Not caught there, it comes out of the hub and ends the process, in the middle of the
-# answers that are still being sent while an instance stops.
+# When a green thread closes a green socket, another one that reads from it gets an
+# EOFError. Uncaught, the error propagates from the hub and ends the process, while a
+# stopping instance is still sending responses.
 _CONNECTION_ERRORS = (OSError, EOFError)
 
 
 class CallerLeftError(BergamotsaddleError):
-    """The caller closed its connection before it had its answer."""
+    """The caller closed its connection before its response was complete."""
 
 
 class RawRequest(NamedTuple):
-    """A whole request as received.
+    """A complete request as received.
 
     Attributes:
         method: HTTP method.
         path: Path and query, unchanged.
         headers: Headers, names in lower case.
-        body: Whole body.
-        began_at: When its first byte was read, on the hub's clock.
+        body: The complete body.
+        started_at: Time on the hub's clock when its first byte was read.
     """
 
     method: bytes
@@ -66,8 +66,13 @@
 
     Args:
         sock: The accepted socket.
-        limits: Gives the limits in force.
-        is_stopping: Tells whether this instance is about to stop.
+        limits: Returns the limits in force.
+        is_stopping: Returns whether this instance is stopping.
+
+    Attributes:
+        is_idle: Whether the connection waits for the first byte of a request.
+        must_close: Whether it has to be closed after the current response.
+        has_started: Whether a response to the current request has been started.
     """
 
     def __init__(
@@ -87,11 +92,11 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read(self) -> RawRequest | None:
-        """Read the next request; None if the caller sends no more.
+        """Read the next request; return None if the caller sends no more.
 
         Raises:
-            RequestError: If the request is improper, too large or too slow.
-            CallerLeftError: If the caller left in the middle of it.
+            RequestError: If the request is invalid, too large or too slow.
+            CallerLeftError: If the caller disconnected in the middle of it.
         """
         self.is_idle = True
         self.has_started = False
@@ -107,10 +112,10 @@
         return request
 
     def run_while_connected(self, work: Callable[[], None]) -> None:
-        """Do the work for a request, but stop it when the caller leaves.
+        """Run the work for a request, and abort it when the caller disconnects.
 
         Raises:
-            CallerLeftError: If the caller left before the work was done.
+            CallerLeftError: If the caller disconnected before the work was done.
         """
         watcher = eventlet.spawn(self._watch_for_disconnect, eventlet.getcurrent())
         try:
@@ -119,14 +124,14 @@
             watcher.kill()
 
     def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = [(b"content-length", b"%d" % len(body))]
         self.start(status, [*headers, *length])
         self._write(self._h11.send(h11.Data(data=body)) if body else b"")
         self.finish()
 
     def start(self, status: int, headers: RawHeaders) -> None:
-        """Send the head of an answer whose body follows."""
+        """Send the head of a response whose body follows."""
         if self._is_stopping() or self.must_close:
             self.must_close = True
             headers = [*headers, (b"connection", b"close")]
@@ -134,46 +139,46 @@
         self._write(self._h11.send(h11.Response(status_code=status, headers=headers)))
 
     def send(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         self._write(self._h11.send(h11.Data(data=data)))
 
     def finish(self) -> None:
-        """End the answer properly."""
+        """End the response properly."""
         self._write(self._h11.send(h11.EndOfMessage()))
 
     def prepare_next(self) -> bool:
-        """Make ready for another request; False if the connection is to be closed."""
+        """Prepare for another request; return False if the connection has to close."""
         if self.must_close or self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE:
             return False
-        # A new parser, since the old one keeps bytes that were read ahead, which
-        # are fed again with the next request.
+        # The old parser still holds bytes that were read ahead. They are parsed with
+        # the next request, so that one needs a new parser.
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_BUFFERED)
         return True
 
     def close(self) -> None:
-        """Close the connection, so that what was written still arrives."""
-        # It fails where the caller has closed the connection already.
+        """Close the connection so that data already written still arrives."""
+        # Fails if the caller has already closed the connection.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_WR)
         self._socket.close()
 
     def close_idle(self) -> None:
-        """Have the green thread that waits for a request close the connection.
+        """Make the green thread that waits for a request close the connection.
 
-        Closed from outside, that thread would stand until something else used the
-        descriptor, and then get an error that comes out of the hub.
+        If another green thread closed the socket, the waiting one would block until the
+        descriptor is reused, and then get an error that propagates from the hub.
         """
         self.must_close = True
-        # It fails where the caller has closed the connection already.
+        # Fails if the caller has already closed the connection.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RD)
 
     def reset(self) -> None:
-        """Break the connection off, so that an unfinished answer never looks whole."""
+        """Reset the connection, so that an unfinished response never looks complete."""
         self.must_close = True
-        # It fails where the connection is gone already.
+        # Fails if the connection is already gone.
         with contextlib.suppress(OSError):
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self._socket.close()
@@ -183,7 +188,7 @@
             with eventlet.Timeout(self._limits().idle_seconds):
                 self._buffered = self._socket.recv(_CHUNK)
         except (eventlet.Timeout, *_CONNECTION_ERRORS):
-            # An idle caller that stays silent or resets has lost nothing.
+            # A caller that stays silent or resets while idle has no request pending.
             return False
         return bool(self._buffered)
 
@@ -219,7 +224,7 @@
         while _HEAD_END not in data:
             if len(data) > limits.head_bytes:
                 raise RequestError(ErrorKind.HEAD_TOO_LARGE, "the head is too large")
-            # A head whose lines end in a bare LF has no proper end to wait for.
+            # A head whose lines end in a bare LF never has the proper end.
             if b"\n\n" in data:
                 raise RequestError(ErrorKind.BAD_REQUEST, "malformed head")
             data += self._receive()
@@ -229,8 +234,8 @@
         if len(_LENGTH_LINE.findall(head)) > 1:
             raise RequestError(ErrorKind.BAD_REQUEST, "two lengths")
         if _BARE_LINE_END.search(head) or _FOLDED.search(head):
-            # Parsers disagree on such lines; a request could hide in what one of
-            # them takes for a header.
+            # Parsers disagree on such lines, so a second request could be smuggled in
+            # what one of them parses as a header.
             raise RequestError(ErrorKind.BAD_REQUEST, "malformed head")
         return head + _HEAD_END, remainder
 
@@ -288,7 +293,7 @@
     names = [name for name, _ in request.headers]
     lengths = [v for name, v in request.headers if name == b"content-length"]
     if len(lengths) > 1 or (lengths and b"transfer-encoding" in names):
-        # Two statements of the length: the next one to parse it may take the other,
+        # The request states its length twice. The next parser may use the other length
         # and see a second request inside the body.
         raise RequestError(ErrorKind.BAD_REQUEST, "two lengths")
     if lengths and int(lengths[0]) > limits.body_bytes:
--- a/packages/serving/bergamotsaddle_serving/client.py
+++ b/packages/serving/bergamotsaddle_serving/client.py
@@ -1,4 +1,4 @@
-"""Connections to targets and to the store: strict, kept and checked before use."""
+"""HTTP connections to targets and the store, strictly parsed, pooled and checked."""
 
 import socket
 from collections.abc import Iterator, Sequence
@@ -18,30 +18,30 @@
 
 _CHUNK = 65_536
 _MAX_HEAD_BYTES = 65_536
-# A connection between zones takes two trips of a few ms; a target that has not taken
-# one after this is dead, cut off or out of places.
+# Connecting between zones takes two trips of a few ms. A target that has not accepted
+# after this time is dead, unreachable or out of connections.
 CONNECT_LIMIT_S = 0.4
-# A machine that is there answers a connection within a trip or two.
+# A reachable machine accepts or refuses a connection within a trip or two.
 _LISTENING_TIMEOUT_S = 0.1
-# An instance without power acknowledges nothing. The kernel then ends the connection
-# after this time instead of after many minutes.
+# A machine that has lost power acknowledges nothing. The kernel then closes the
+# connection after this time instead of after many minutes.
 _UNACKNOWLEDGED_TIMEOUT_MS = 1_500
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-# How long an idle connection is kept if the target doesn't say.
+# How long an idle connection is kept if the target names no time.
 _DEFAULT_KEEP_ALIVE_S = 4.0
-# A connection that the target is about to close is not used any more: a request that
-# meets the close would have an unknown outcome.
+# An idle connection is not reused this long before the target closes it: a request that
+# is sent while the target closes would have an unknown outcome.
 _KEEP_ALIVE_MARGIN_S = 0.8
-# Bodies above this are sent beside reading the answer, since a target may answer
-# before it has read them all.
+# Requests larger than this are sent while the response is read, because a target may
+# respond before it has read the whole body.
 _MAX_INLINE_SEND = 16_384
 
-# Reasons of a connection that ended before its answer did.
+# Reasons of connections that were closed before the response was complete.
 BROKEN_CONNECTION_REASONS = frozenset(("closed", "cut", "reset", "send"))
 
-# Headers that concern one connection only and are not passed on.
+# Headers that apply to one connection only and are not forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -57,11 +57,11 @@
 
 
 class ConnectionLostError(BergamotsaddleError):
-    """A connection that ended, fell silent or spoke no HTTP.
+    """A connection was refused, closed or silent, or its peer violated HTTP.
 
     Args:
         reason: One word for logs.
-        is_unsent: Whether no byte of the request has left.
+        is_unsent: Whether no byte of the request has been sent.
     """
 
     def __init__(self, reason: str, *, is_unsent: bool = False) -> None:
@@ -71,20 +71,21 @@
 
 
 class RawResponseHead(NamedTuple):
-    """Status and headers of an answer, header names in lower case."""
+    """Status and headers of a response, header names in lower case."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
 
 
 class Connection:
-    """One connection, for one request after the other.
+    """A client connection that carries one request after the other.
 
     Args:
-        address: Where to connect.
+        address: Address to connect to.
+        limit: Seconds for connecting.
 
     Raises:
-        ConnectionLostError: If it can't be made in time.
+        ConnectionLostError: If the connection can't be made in time.
     """
 
     def __init__(self, address: Address, *, limit: float = CONNECT_LIMIT_S) -> None:
@@ -119,10 +120,10 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
     def is_usable(self) -> bool:
-        """Tell whether an idle connection may carry another request.
+        """Return whether an idle connection may carry another request.
 
-        Bytes that wait on an idle connection are a close, or a late second answer
-        that would be taken for the next one.
+        A readable idle connection was closed, or holds a late second response that
+        would be taken for the response to the next request.
         """
         if now() - self.idle_since > self.keep_alive_seconds - _KEEP_ALIVE_MARGIN_S:
             return False
@@ -133,11 +134,15 @@
     def send(self, request: HttpCall, *, limit: float) -> int:
         """Send a request.
 
+        Args:
+            request: The request.
+            limit: Seconds for sending it.
+
         Returns:
-            Its size in bytes; a large one is still being sent.
+            Size of the request in bytes. A large one is still being sent.
 
         Raises:
-            ConnectionLostError: If that failed.
+            ConnectionLostError: If sending failed.
         """
         head = self._h11.send(
             h11.Request(
@@ -162,15 +167,18 @@
         try:
             self._socket.sendall(data)
         except OSError:
-            # The reader of the answer meets the same end and tells of it.
+            # Reading the response fails as well and reports the error.
             return False
         return True
 
     def read_head(self, *, limit: float) -> RawResponseHead:
-        """Wait for the head of the answer.
+        """Read the head of the response.
+
+        Args:
+            limit: Seconds for each event of the parser.
 
         Raises:
-            ConnectionLostError: If there is none in time.
+            ConnectionLostError: If no head arrives in time.
         """
         event = self._next_event(limit)
         while isinstance(event, h11.InformationalResponse):
@@ -180,14 +188,14 @@
         return RawResponseHead(event.status_code, list(event.headers))
 
     def read_body(self, *, limit: float, max_bytes: int) -> bytes:
-        """Read the whole body of the answer.
+        """Read the whole body of the response.
 
         Args:
-            limit: Seconds for all of it.
-            max_bytes: Bytes that it may have.
+            limit: Seconds for the whole body.
+            max_bytes: Maximum size of the body.
 
         Raises:
-            ConnectionLostError: If it is not whole.
+            ConnectionLostError: If the body is incomplete or too large.
         """
         until = now() + limit
         chunks = []
@@ -200,10 +208,13 @@
         return b"".join(chunks)
 
     def read_some(self, *, limit: float) -> bytes | None:
-        """Read the next part of the body; None at its proper end.
+        """Read the next chunk of the body; return None at its proper end.
+
+        Args:
+            limit: Seconds to wait for the chunk.
 
         Raises:
-            ConnectionLostError: If the body broke off or nothing came in time.
+            ConnectionLostError: If the body was cut off or no data arrived in time.
         """
         event = self._next_event(limit)
         if isinstance(event, h11.Data):
@@ -215,15 +226,15 @@
     def exchange(
         self, call: HttpCall, *, limit: float, max_bytes: int
     ) -> tuple[RawResponseHead, bytes]:
-        """Send a call and read its whole answer; a failure closes the connection.
+        """Send a call and read its whole response; a failure closes the connection.
 
         Args:
             call: The call.
-            limit: Seconds for each step.
-            max_bytes: Bytes that the body may have.
+            limit: Seconds for each of sending, the head and the body.
+            max_bytes: Maximum size of the response's body.
 
         Raises:
-            ConnectionLostError: If there is no whole answer in time.
+            ConnectionLostError: If no complete response arrives in time.
         """
         try:
             self.send(call, limit=limit)
@@ -234,7 +245,7 @@
             raise
 
     def prepare_next(self) -> bool:
-        """Make ready for another request; False if the connection can't take one."""
+        """Prepare for another request; return False if that is not possible."""
         sender = self._sender
         if sender is not None and not (sender.dead and sender.wait()):
             return False
@@ -248,7 +259,7 @@
         return True
 
     def close(self) -> None:
-        """Close it; a target drops the request that it still has from it."""
+        """Close the connection; the target drops a request that is still running."""
         if self._sender is not None and not self._sender.dead:
             self._sender.kill()
         self._socket.close()
@@ -279,7 +290,11 @@
 
 
 class ConnectionPool:
-    """Idle connections by address, so that few new ones are made."""
+    """A pool of idle connections by address.
+
+    Attributes:
+        opened: Number of connections opened so far.
+    """
 
     def __init__(self) -> None:
         self._idle_by_address: dict[Address, list[Connection]] = {}
@@ -288,10 +303,14 @@
     def acquire(
         self, address: Address, *, limit: float = CONNECT_LIMIT_S
     ) -> Connection:
-        """Take an idle connection that is still good, or make one.
+        """Return a usable idle connection, or open a new one.
+
+        Args:
+            address: Address to connect to.
+            limit: Seconds for connecting, at most ``CONNECT_LIMIT_S``.
 
         Raises:
-            ConnectionLostError: If none can be made in time.
+            ConnectionLostError: If no connection can be made in time.
         """
         idle = self._idle_by_address.get(address)
         while idle:
@@ -303,7 +322,12 @@
         return Connection(address, limit=min(limit, CONNECT_LIMIT_S))
 
     def release(self, connection: Connection, keep_alive_seconds: float | None) -> None:
-        """Take back a connection whose answer has been read to its end."""
+        """Return a connection to the pool after its response was read to the end.
+
+        Args:
+            connection: The connection.
+            keep_alive_seconds: How long the target keeps it open, None if unknown.
+        """
         if keep_alive_seconds is not None:
             connection.keep_alive_seconds = keep_alive_seconds
         if not connection.prepare_next():
@@ -312,9 +336,9 @@
         self._idle_by_address.setdefault(connection.address, []).append(connection)
 
     def is_refused(self, address: Address) -> bool:
-        """Tell whether nobody listens at an address.
+        """Return whether an address refuses connections.
 
-        A connection that is made is kept for the next request.
+        If a connection is accepted, the pool keeps it for the next request.
         """
         try:
             connection = self.acquire(address, limit=_LISTENING_TIMEOUT_S)
@@ -324,7 +348,7 @@
         return False
 
     def prune(self) -> None:
-        """Close idle connections that are past their time."""
+        """Close idle connections that may not carry another request."""
         for address, idle in list(self._idle_by_address.items()):
             for connection in [c for c in idle if not c.is_usable()]:
                 idle.remove(connection)
@@ -336,7 +360,7 @@
 def end_to_end_headers(
     headers: Sequence[tuple[bytes, bytes]],
 ) -> Iterator[tuple[bytes, bytes]]:
-    """Yield the headers of an answer that concern more than one connection."""
+    """Yield the headers of a response that apply to more than one connection."""
     for name, value in headers:
         if name not in HOP_BY_HOP_HEADERS:
             yield name, value
--- a/packages/serving/bergamotsaddle_serving/datagrams.py
+++ b/packages/serving/bergamotsaddle_serving/datagrams.py
@@ -1,4 +1,4 @@
-"""A socket for datagrams that many peers send."""
+"""A UDP socket that reads datagrams of many peers at low cost."""
 
 import socket
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 _native = patcher.original("socket")
 
 _MAX_DATAGRAM = 65_535
-# Other green threads get their turn after so many datagrams.
+# Number of datagrams after which other green threads get to run.
 _MAX_BATCH = 64
 
 Datagram = tuple[bytes, tuple[str, int]]
@@ -19,13 +19,13 @@
 class DatagramSocket:
     """A bound UDP socket with one reader.
 
-    A green socket tells the hub of its reader before each datagram and takes that back
-    after it, which costs more than reading the datagram does. Here the hub knows the
-    reader once and for all.
+    A green socket registers its reader at the hub before each datagram and removes it
+    afterwards, which costs more than reading the datagram does. This socket registers
+    its reader once.
 
     Args:
-        host: Own IP number.
-        port: Own port.
+        host: IP address to bind to.
+        port: Port to bind to.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -39,12 +39,12 @@
         """Send a datagram.
 
         Raises:
-            OSError: If it can't leave at once.
+            OSError: If it can't be sent at once.
         """
         self._socket.sendto(data, address)
 
     def open(self) -> None:
-        """Have the hub wake the reader; again is the same as once."""
+        """Register the socket at the hub; further calls do nothing."""
         if self._is_open:
             return
         self._is_open = True
@@ -62,10 +62,10 @@
         self._socket.close()
 
     def read(self) -> Iterator[Datagram]:
-        """Yield datagrams as they arrive, for ever.
+        """Yield datagrams as they arrive, forever.
 
         Raises:
-            OSError: If one that was sent met nobody.
+            OSError: If a sent datagram was refused because no socket listens there.
         """
         while True:
             self._arrived = Event()
--- a/packages/serving/bergamotsaddle_serving/log.py
+++ b/packages/serving/bergamotsaddle_serving/log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output, bounded and never blocking."""
+"""Structured log lines on standard output, limited in rate and never blocking."""
 
 import os
 from typing import Any
@@ -9,26 +9,30 @@
 
 from bergamotsaddle_daemon.clock import now
 
-# Green os functions would wait on the hub for a reader that may never come.
+# The green versions of os functions would wait on the hub, without end if the reader of
+# the log has stopped.
 _os = patcher.original("os")
 
-# Lines a second that a daemon writes at most, in total; a day of ordinary load takes a
-# tenth of it, and a core spends 2 % on it (20 us a line).
+# Maximum number of lines per second. Ordinary load needs a tenth of it. At the maximum,
+# logging takes 2 % of a core (20 us per line).
 LINES_PER_S = 1000.0
-# The last part of each second's lines is kept for those that explain a refusal or a
-# failure, which is what somebody will look for afterwards.
+# The last lines of each second's budget are reserved for rejections and failures, which
+# operators search for afterwards.
 _RESERVED_FOR_FAILURES = 300.0
 _DROP_REPORT_S = 5.0
 
 
 class BoundedOutput:
-    """Writes whole lines to a descriptor, or drops and counts them.
+    """Writes complete lines to a file descriptor, or drops and counts them.
 
-    A reader that stops reading would block a process that writes to its pipe, and every
-    caller with it. Here a line that doesn't fit at once is dropped.
+    If the reader of a pipe stops reading, the writing process blocks, and with it all
+    its callers. This class drops a line that can't be written at once instead.
 
     Args:
-        descriptor: Where to write; it is made non-blocking.
+        descriptor: Descriptor to write to; it is made non-blocking.
+
+    Attributes:
+        dropped: Number of dropped lines that have not been reported yet.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -41,7 +45,12 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes, *, is_failure: bool) -> None:
-        """Write a line without its end, or drop it."""
+        """Write or drop a line.
+
+        Args:
+            line: The line without its line end.
+            is_failure: Whether it may use the lines reserved for failures.
+        """
         if not self._try_spend_line(is_failure) or not self._write_all(line + b"\n"):
             self.dropped += 1
             return
@@ -59,8 +68,8 @@
         return True
 
     def _write_all(self, data: bytes) -> bool:
-        # What is left of a line that was written in part goes out first, since the
-        # lines after it could not be read otherwise.
+        # The rest of a partly written line goes first, because the lines after it would
+        # be unreadable otherwise.
         if self._unsent:
             self._unsent = self._unsent[self._write(self._unsent) :]
             if self._unsent:
@@ -77,7 +86,7 @@
         except BlockingIOError:
             return 0
         except OSError:
-            # Nobody reads standard output any more; there is nowhere to say so.
+            # Standard output has no reader any more, so the error can't be reported.
             return 0
 
     def _report(self) -> None:
@@ -88,7 +97,7 @@
 
 
 class _LineLogger:
-    """What structlog hands its rendered lines to."""
+    """The logger that receives structlog's rendered lines."""
 
     def __init__(self, output: BoundedOutput) -> None:
         self._output = output
@@ -106,11 +115,11 @@
 def make_logger(
     instance: str, output: BoundedOutput
 ) -> structlog.typing.FilteringBoundLogger:
-    """Make the logger of an instance, one JSON object a line.
+    """Make the logger of an instance, which writes one JSON object per line.
 
     Args:
-        instance: Named in each line.
-        output: Where the lines go.
+        instance: Id of the instance, added to each line.
+        output: Output that the lines are written to.
     """
     return structlog.wrap_logger(
         _LineLogger(output),
--- a/packages/serving/bergamotsaddle_serving/messages.py
+++ b/packages/serving/bergamotsaddle_serving/messages.py
@@ -94,8 +94,8 @@
         load: Load of the target, None if not given.
         keep_alive_seconds: How long the target keeps an idle connection open, None if
             not given.
-        is_encoded: Whether the body has a content encoding. Targets apply none, so it
-            comes from an intermediary.
+        is_encoded: Whether the body has a content encoding. Targets apply none, so
+            such a body is not the target's own.
         limit: Requests per second that the target accepts from all instances together,
             None if not given.
     """
--- a/packages/serving/bergamotsaddle_serving/metrics.py
+++ b/packages/serving/bergamotsaddle_serving/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms, and the page that shows them."""
+"""Counters, gauges and histograms, and the page that exposes them."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -14,7 +14,13 @@
 
 
 class _Gauge(NamedTuple):
-    """A figure that is read whenever the page is."""
+    """A value that is read each time the page is rendered.
+
+    Attributes:
+        name: Name of the metric without its prefix.
+        text: Help text of the metric.
+        read: Returns the current value.
+    """
 
     name: str
     text: str
@@ -22,7 +28,7 @@
 
 
 class _Histogram:
-    """How long the requests of one route took."""
+    """Histogram of the durations of one route's requests."""
 
     def __init__(self) -> None:
         self._counts = [0] * (len(_BUCKETS_S) + 1)
@@ -34,16 +40,16 @@
         self.total += seconds
 
     def buckets(self) -> list[tuple[str, float]]:
-        """Upper bounds with the number of durations up to each."""
+        """Return each upper bound with the number of durations up to it."""
         bounds = [*map(str, _BUCKETS_S), "+Inf"]
         return list(zip(bounds, accumulate(self._counts), strict=True))
 
 
 class Metrics:
-    """What a daemon counts.
+    """The metrics of a daemon.
 
-    The library that formats the page is loaded when the page is first asked for: it
-    brings a server and a client of its own, which would delay every start.
+    The library that formats the page is imported when the page is first rendered. It
+    imports an HTTP server and client of its own, which would delay every start.
     """
 
     def __init__(self) -> None:
@@ -52,16 +58,22 @@
         self._gauges: list[_Gauge] = []
 
     def count_request(self, route: str, outcome: str, seconds: float) -> None:
-        """Count a request that has ended."""
+        """Count a request that has ended, and record its duration."""
         self._requests[route, outcome] += 1
         self._durations_by_route.setdefault(route, _Histogram()).add(seconds)
 
     def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Show a figure that is read whenever the page is."""
+        """Add a gauge.
+
+        Args:
+            name: Name of the metric without its prefix.
+            text: Help text of the metric.
+            read: Returns the current value, each time the page is rendered.
+        """
         self._gauges.append(_Gauge(name, text, read))
 
     def page(self) -> bytes:
-        """The page as text."""
+        """Render the page in the text format of Prometheus."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -69,7 +81,7 @@
         return generate_latest(registry)
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield all metrics, as a collector of the library."""
+        """Yield all metrics, as the library expects of a collector."""
         from prometheus_client import core
 
         requests = core.CounterMetricFamily(
--- a/packages/serving/bergamotsaddle_serving/probe.py
+++ b/packages/serving/bergamotsaddle_serving/probe.py
@@ -1,4 +1,4 @@
-"""Small pages for the balancer's probe and for metrics."""
+"""Serves small pages for the load balancer's probe and for metrics."""
 
 import socket
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 
 def serve_page(listener: socket.socket, page: Page) -> None:
-    """Answer each request on a listener with a page, for ever.
+    """Respond to each request on a listener with a page, forever.
 
     Args:
         listener: A listening socket.
-        page: Makes status and body.
+        page: Returns the status and the body of the page.
     """
     while True:
         sock, _ = listener.accept()
@@ -30,7 +30,7 @@
         while _answer(sock, page):
             continue
     except (OSError, h11.ProtocolError):
-        # The asker went away or spoke no HTTP; it asks again.
+        # The client disconnected or violated HTTP; it sends its request again.
         return
     finally:
         sock.close()
--- a/packages/serving/bergamotsaddle_serving/settings.py
+++ b/packages/serving/bergamotsaddle_serving/settings.py
@@ -1,17 +1,23 @@
-"""The settings of one serving daemon, read from an INI file and checked at start."""
+"""The settings of a serving daemon, read from an INI file and validated at startup."""
 
 from typing import NamedTuple
 
 from bergamotsaddle_contracts.ini import Address, IniFile, parse_address, parse_words
 from bergamotsaddle_serving.policy import FULL_POLICY, Policy, parse_policy
 
-# A link of so many megabits a second carries what an owner of queues sends and gets
-# while it uses a core.
+# Bandwidth in megabits per second that an owner of queues needs for each core that it
+# uses.
 _MBPS_PER_CORE = 20.0
 
 
 class InstanceSettings(NamedTuple):
-    """Who this instance is (``[instance]``)."""
+    """Identity of this instance (``[instance]``).
+
+    Attributes:
+        id: Id of the instance.
+        zone: Its availability zone.
+        host: Its IP address.
+    """
 
     id: str
     zone: str
@@ -19,13 +25,13 @@
 
 
 class ListenSettings(NamedTuple):
-    """Where it listens (``[listen]``).
+    """Addresses and ports of this instance (``[listen]``).
 
     Attributes:
-        callers: Where callers connect.
-        ready: Where the balancer asks whether this instance is ready.
-        peer_port: UDP and TCP port of all instances for each other.
-        metrics_port: Where metrics are served.
+        callers: Address at which callers connect.
+        ready: Address of the load balancer's readiness probe.
+        peer_port: UDP and TCP port for other instances, the same at all of them.
+        metrics_port: Port at which metrics are served.
     """
 
     callers: Address
@@ -35,7 +41,11 @@
 
 
 class PeerSettings(NamedTuple):
-    """How to find other instances (``[peers]``)."""
+    """How other instances are found (``[peers]``).
+
+    Attributes:
+        seeds: Addresses of instances that are contacted first.
+    """
 
     seeds: tuple[str, ...]
 
@@ -51,19 +61,23 @@
 
 
 class StoreSettings(NamedTuple):
-    """Where operators and targets publish (``[store]``)."""
+    """The store in which operators and targets publish (``[store]``).
+
+    Attributes:
+        address: Address of the store.
+    """
 
     address: Address
 
 
 class BoundSettings(NamedTuple):
-    """What the deployment promises (``[bounds]``), in seconds unless told.
+    """Bounds that the deployment sets (``[bounds]``).
 
     Attributes:
-        grace: Time between a request to stop and the end of the process.
-        retry_ratio: Extra calls allowed, as a part of the plain ones.
-        retry_window: Time over which extra calls are counted.
-        retry_extra: Extra calls allowed besides, over all instances.
+        grace: Seconds between the signal to stop and the kill of the process.
+        retry_ratio: Extra calls allowed, as a fraction of the first calls.
+        retry_window: Seconds over which extra calls are counted.
+        retry_extra: Number of extra calls allowed besides, over all instances.
     """
 
     grace: float
@@ -73,12 +87,12 @@
 
 
 class CapacitySettings(NamedTuple):
-    """What this instance may use of its machine (``[capacity]``).
+    """Resources that this instance may use of its machine (``[capacity]``).
 
     Attributes:
-        cpu_share: Share of a core's time, as each of the cores gives it.
+        cpu_share: Fraction of the time of each core.
         cpus: Number of cores.
-        link_mbps: Bandwidth of its link in megabits a second.
+        link_mbps: Bandwidth of its link in megabits per second.
     """
 
     cpu_share: float = 1.0
@@ -87,12 +101,12 @@
 
     @property
     def cores(self) -> float:
-        """How much work for others it can do, in cores."""
+        """Cores that it can spend on work for other instances."""
         return min(self.cpu_share * self.cpus, self.link_mbps / _MBPS_PER_CORE)
 
 
 class ServingSettings(NamedTuple):
-    """All settings of one serving daemon."""
+    """All settings of a serving daemon."""
 
     instance: InstanceSettings
     listen: ListenSettings
@@ -105,10 +119,10 @@
 
 
 def _parse_number(text: str) -> float:
-    """Turn text into a number that isn't negative.
+    """Parse a number that is not negative.
 
     Raises:
-        ValueError: If it is none.
+        ValueError: If the text is no such number.
     """
     value = float(text)
     if not 0 <= value < float("inf"):
@@ -117,10 +131,10 @@
 
 
 def _parse_positive(text: str) -> float:
-    """Turn text into a number above zero.
+    """Parse a number above zero.
 
     Raises:
-        ValueError: If it is none.
+        ValueError: If the text is no such number.
     """
     value = _parse_number(text)
     if not value:
@@ -139,10 +153,10 @@
 
 
 def _parse_pairs(text: str) -> dict[str, str]:
-    """Turn ``zone=region`` words into a table.
+    """Parse words of the form ``zone=region`` into a dictionary.
 
     Raises:
-        ValueError: If a word is no such pair.
+        ValueError: If a word does not have this form.
     """
     pairs = {}
     for word in parse_words(text):
@@ -154,14 +168,14 @@
 
 
 def parse_settings(text: str, *, name: str) -> ServingSettings:
-    """Read and check settings.
+    """Parse and validate settings.
 
     Args:
-        text: The INI text.
-        name: Name of the file, for messages.
+        text: Text of the INI file.
+        name: Name of the file, for error messages.
 
     Raises:
-        InvalidFileError: With every fault that was found.
+        InvalidFileError: If settings are invalid; it lists all of them.
     """
     ini = IniFile(text, name=name)
     settings = ServingSettings(
