--- a/packages/serving/bergamotsaddle_serving/log.py
+++ b/packages/serving/bergamotsaddle_serving/log.py
@@ -51,7 +51,7 @@
             line: The line without its line end.
             is_failure: Whether it may use the lines reserved for failures.
         """
-        if not self._try_spend_line(is_failure) or not self._write_all(line + b"\n"):
+        if not self._try_spend_line(is_failure) or not self._write_buffered(line + b"\n"):
             self.dropped += 1
             return
         if self.dropped and now() - self._reported_at > _DROP_REPORT_S:
@@ -67,7 +67,7 @@
         self._remaining_lines -= 1.0
         return True
 
-    def _write_all(self, data: bytes) -> bool:
+    def _write_buffered(self, data: bytes) -> bool:
         # The rest of a partly written line goes first, because the lines after it would
         # be unreadable otherwise.
         if self._unsent:
@@ -91,7 +91,7 @@
 
     def _report(self) -> None:
         line = msgspec.json.encode({"event": "log_dropped", "lines": self.dropped})
-        if self._write_all(line + b"\n"):
+        if self._write_buffered(line + b"\n"):
             self.dropped = 0
             self._reported_at = now()
 
--- a/packages/serving/bergamotsaddle_serving/peers.py
+++ b/packages/serving/bergamotsaddle_serving/peers.py
@@ -65,6 +65,14 @@
 
     Args:
         contact: Identity and address of the instance.
+
+    Attributes:
+        incarnation: Random id of its process, empty before its first heartbeat.
+        was_contacted: Whether it got a heartbeat since it became known, or since this
+            instance last started or stopped accepting work.
+        last_seen_at: When its last heartbeat arrived.
+        added_at: When it became known.
+        suspected_at: When it last left a message unacknowledged.
     """
 
     def __init__(self, contact: Contact) -> None:
@@ -95,6 +103,17 @@
         settings: Identity of this instance, and its seeds.
         incarnation: Random id of this process.
         logger: Logs returning and forgotten peers, and faulty datagrams.
+
+    Attributes:
+        own: Contact of this instance.
+        incarnation: Random id of this process.
+        by_id: State of each known peer, by instance id.
+        own_loads: Returns the loads for this instance's heartbeats. The other
+            attributes ``own_*`` return further fields of ``Heartbeat``.
+        on_heartbeat: Called with each heartbeat of a peer.
+        is_zone_unreachable: Returns whether a zone is unreachable.
+        received: Number of datagrams received so far.
+        sent: Number of datagrams sent so far.
     """
 
     def __init__(
@@ -103,7 +122,7 @@
         instance = settings.instance
         self.own = Contact(instance.id, instance.zone, instance.host)
         self.incarnation = incarnation
-        self._takes_work = False
+        self._accepts_work = False
         self._region_by_zone = settings.zones.region_by_zone
         self.by_id: dict[str, Peer] = {}
         self.own_loads: Callable[[], dict[str, list[float]]] = dict
@@ -145,13 +164,13 @@
     @property
     def accepts_work(self) -> bool:
         """Whether this instance accepts work from other instances."""
-        return self._takes_work
+        return self._accepts_work
 
     @accepts_work.setter
     def accepts_work(self, value: bool) -> None:
-        if value == self._takes_work:
+        if value == self._accepts_work:
             return
-        self._takes_work = value
+        self._accepts_work = value
         self.invalidate_roster()
         if self._is_owner_candidate():
             # A peer that received the change a round later would use another owner
--- a/packages/serving/bergamotsaddle_serving/server.py
+++ b/packages/serving/bergamotsaddle_serving/server.py
@@ -85,7 +85,7 @@
         self._dialect = dialect
         self._stop_requested = Event()
         self._reload_requested = False
-        self._stopping = False
+        self._is_stopping = False
         self._started_at = now()
         self._build()
 
@@ -229,7 +229,7 @@
 
     def is_ready(self) -> bool:
         """Return whether the load balancer should send callers here."""
-        return self.view.is_complete() and not self._stopping
+        return self.view.is_complete() and not self._is_stopping
 
     def _ready_page(self) -> tuple[int, bytes]:
         return (_OK if self.is_ready() else _UNAVAILABLE), b""
@@ -239,26 +239,26 @@
             try:
                 sock, _ = listener.accept()
             except OSError as error:
-                if self._stopping:
+                if self._is_stopping:
                     return
                 # Most likely out of file descriptors; callers wait in the backlog.
                 self.logger.warning("accept_failed", reason=str(error))
                 eventlet.sleep(_STOP_POLL_S)
                 continue
-            caller = CallerConnection(sock, self.handler.limits, lambda: self._stopping)
+            caller = CallerConnection(sock, self.handler.limits, lambda: self._is_stopping)
             eventlet.spawn_n(self.handler.run, caller)
 
     def _stop(self, listener: socket.socket) -> None:
         started_at = now()
-        self._stopping = True
+        self._is_stopping = True
         self.peers.accepts_work = False
         self.peers.send_heartbeats()
         self.owner.hand_over(is_final=True)
         self.logger.info("stopping", active=self.handler.active)
         eventlet.sleep(_STOP_NOTICE_S)
         listener.close()
-        limit = started_at + self.settings.bounds.grace - _STOP_MARGIN_S
-        while now() < limit and self._is_busy():
+        deadline = started_at + self.settings.bounds.grace - _STOP_MARGIN_S
+        while now() < deadline and self._is_busy():
             self._close_idle()
             eventlet.sleep(_STOP_POLL_S)
         self.handler.abort_all()
--- a/packages/serving/bergamotsaddle_serving/view.py
+++ b/packages/serving/bergamotsaddle_serving/view.py
@@ -52,6 +52,16 @@
     Args:
         dialect: Decodes entries.
         logger: Logs each change.
+
+    Attributes:
+        configuration: The operators' configuration, None until it is known.
+        evacuated_zones: Zones whose targets get no requests.
+        targets_by_service: Listed targets of each service.
+        target_by_address: Listed target at each address.
+        revision: Store revision up to which the view is complete.
+        has_snapshot: Whether a snapshot of all entries has been applied.
+        confirmed_at: When the store last confirmed that the view is up to date.
+        store_regained_at: When the store last returned after an outage.
     """
 
     def __init__(self, dialect: Dialect, logger: Any) -> None:
@@ -150,7 +160,8 @@
     def may_get_work(self, target: Target) -> bool:
         """Return whether a chosen target may still get new work, just before sending.
 
-        It may not once another incarnation or address replaced it in the list.
+        It may not if it is draining or evacuated, or if the list has another
+        incarnation or address of it by now.
         """
         known = self._known_by_id.get(target.id)
         if known is None or known.target.incarnation != target.incarnation:
--- a/packages/serving/bergamotsaddle_serving/view_follower.py
+++ b/packages/serving/bergamotsaddle_serving/view_follower.py
@@ -20,7 +20,8 @@
 
 # How long a reader may hold a request. A frozen reader is noticed after this time.
 _REQUEST_WAIT_S = 1.0
-# A reader whose view the store has not confirmed for this long gets no more changes.
+# A reader counts as cut off from the store if its view has not been confirmed for this
+# long.
 _MAX_VIEW_AGE_S = MAX_WATCH_S + 0.7
 # How long a reader is avoided after it did not respond, lost the store or fell behind.
 _AVOID_READER_S = 5.0
