--- a/packages/serving/bergamotsaddle_serving/view_exchange.py
+++ b/packages/serving/bergamotsaddle_serving/view_exchange.py
@@ -38,7 +38,7 @@
 
 
 class LinkError(BergamotsaddleError):
-    """A peer did not answer a ``ViewRequest``."""
+    """A peer could not be reached or did not respond to a ``ViewRequest``."""
 
 
 class ViewRequest(msgspec.Struct, array_like=True):
