--- a/packages/serving/bergamotsaddle_serving/caller.py
+++ b/packages/serving/bergamotsaddle_serving/caller.py
@@ -1,4 +1,4 @@
-"""A caller's connection: strict parsing, limits, and notice when the caller leaves."""
+"""Callers' connections: strict parsing, limits, and detection of disconnects."""
 
 import contextlib
 import re
@@ -25,33 +25,33 @@
 _BARE_LINE_END = re.compile(rb"(?<!\r)\n|\r(?!\n)")
 _LENGTH_LINE = re.compile(rb"\r\ncontent-length[ \t]*:", re.IGNORECASE)
 _FOLDED = re.compile(rb"\r\n[ \t]")
-# A body takes far less on any link that a deadline of seconds allows for.
-_BODY_LIMIT_S = 10.0
-# A caller that doesn't read its answer for this long is gone.
-_WRITE_LIMIT_S = 10.0
-# Requests that a caller sends ahead are kept up to this many bytes.
-_MAX_AHEAD = 262_144
-# Linger on, for no time: a close sends a reset instead of a proper end.
+# A body takes far less on any link that is fast enough for deadlines of seconds.
+_BODY_TIMEOUT_S = 10.0
+# A caller that does not read its response for this long counts as gone.
+_WRITE_TIMEOUT_S = 10.0
+# Maximum number of bytes buffered of requests that a caller sends ahead.
+_MAX_BUFFERED = 262_144
+# SO_LINGER enabled with a time of 0: closing sends a reset instead of a proper end.
 _RESET = struct.pack("ii", 1, 0)
-# A green socket that another green thread closes raises EOFError in the one that reads.
-# Not caught there, it comes out of the hub and ends the process, in the middle of the
-# answers that are still being sent while an instance stops.
-_ENDED = (OSError, EOFError)
+# When a green thread closes a green socket, another one that reads from it gets an
+# EOFError. Uncaught, the error propagates from the hub and ends the process, while a
+# stopping instance is still sending responses.
+_CONNECTION_ERRORS = (OSError, EOFError)
 
 
 class CallerLeftError(BergamotsaddleError):
-    """The caller closed its connection before it had its answer."""
+    """The caller closed its connection before its response was complete."""
 
 
 class RawRequest(NamedTuple):
-    """A whole request as received.
+    """A complete request as received.
 
     Attributes:
         method: HTTP method.
         path: Path and query, unchanged.
         headers: Headers, names in lower case.
-        body: Whole body.
-        began_at: When its first byte was read, on the hub's clock.
+        body: The complete body.
+        started_at: Time on the hub's clock when its first byte was read.
     """
 
     method: bytes
@@ -66,8 +66,13 @@
 
     Args:
         sock: The accepted socket.
-        limits: Gives the limits in force.
-        is_stopping: Tells whether this instance is about to stop.
+        limits: Returns the limits in force.
+        is_stopping: Returns whether this instance is stopping.
+
+    Attributes:
+        is_idle: Whether the connection waits for the first byte of a request.
+        must_close: Whether it has to be closed after the current response.
+        has_started: Whether a response to the current request has been started.
     """
 
     def __init__(
@@ -79,23 +84,23 @@
         self._socket = sock
         self._limits = limits
         self._is_stopping = is_stopping
-        self._ahead = b""
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_AHEAD)
+        self._buffered = b""
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_BUFFERED)
         self.is_idle = True
         self.must_close = False
         self.has_started = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read(self) -> RawRequest | None:
-        """Read the next request; None if the caller sends no more.
+        """Read the next request; return None if the caller sends no more.
 
         Raises:
-            RequestError: If the request is improper, too large or too slow.
-            CallerLeftError: If the caller left in the middle of it.
+            RequestError: If the request is invalid, too large or too slow.
+            CallerLeftError: If the caller disconnected in the middle of it.
         """
         self.is_idle = True
         self.has_started = False
-        if not self._ahead and not self._wait_first_byte():
+        if not self._buffered and not self._wait_first_byte():
             return None
         self.is_idle = False
         started_at = now()
@@ -103,30 +108,30 @@
             request = self._read_request(started_at)
         except h11.RemoteProtocolError as error:
             raise RequestError(ErrorKind.BAD_REQUEST, "malformed request") from error
-        self._ahead = bytes(self._h11.trailing_data[0])
+        self._buffered = bytes(self._h11.trailing_data[0])
         return request
 
     def run_while_connected(self, work: Callable[[], None]) -> None:
-        """Do the work for a request, but stop it when the caller leaves.
+        """Run the work for a request, and abort it when the caller disconnects.
 
         Raises:
-            CallerLeftError: If the caller left before the work was done.
+            CallerLeftError: If the caller disconnected before the work was done.
         """
-        watcher = eventlet.spawn(self._watch, eventlet.getcurrent())
+        watcher = eventlet.spawn(self._watch_for_disconnect, eventlet.getcurrent())
         try:
             work()
         finally:
             watcher.kill()
 
     def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = [(b"content-length", b"%d" % len(body))]
         self.start(status, [*headers, *length])
         self._write(self._h11.send(h11.Data(data=body)) if body else b"")
         self.finish()
 
     def start(self, status: int, headers: RawHeaders) -> None:
-        """Send the head of an answer whose body follows."""
+        """Send the head of a response whose body follows."""
         if self._is_stopping() or self.must_close:
             self.must_close = True
             headers = [*headers, (b"connection", b"close")]
@@ -134,46 +139,46 @@
         self._write(self._h11.send(h11.Response(status_code=status, headers=headers)))
 
     def send(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         self._write(self._h11.send(h11.Data(data=data)))
 
     def finish(self) -> None:
-        """End the answer properly."""
+        """End the response properly."""
         self._write(self._h11.send(h11.EndOfMessage()))
 
     def prepare_next(self) -> bool:
-        """Make ready for another request; False if the connection is to be closed."""
+        """Prepare for another request; return False if the connection has to close."""
         if self.must_close or self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE:
             return False
-        # A new parser, since the old one keeps bytes that were read ahead, which
-        # are fed again with the next request.
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_AHEAD)
+        # The old parser still holds bytes that were read ahead. They are parsed with
+        # the next request, so that one needs a new parser.
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_BUFFERED)
         return True
 
     def close(self) -> None:
-        """Close the connection, so that what was written still arrives."""
-        # It fails where the caller has closed the connection already.
+        """Close the connection so that data already written still arrives."""
+        # Fails if the caller has already closed the connection.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_WR)
         self._socket.close()
 
     def close_idle(self) -> None:
-        """Have the green thread that waits for a request close the connection.
+        """Make the green thread that waits for a request close the connection.
 
-        Closed from outside, that thread would stand until something else used the
-        descriptor, and then get an error that comes out of the hub.
+        If another green thread closed the socket, the waiting one would block until the
+        descriptor is reused, and then get an error that propagates from the hub.
         """
         self.must_close = True
-        # It fails where the caller has closed the connection already.
+        # Fails if the caller has already closed the connection.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RD)
 
     def reset(self) -> None:
-        """Break the connection off, so that an unfinished answer never looks whole."""
+        """Reset the connection, so that an unfinished response never looks complete."""
         self.must_close = True
-        # It fails where the connection is gone already.
+        # Fails if the connection is already gone.
         with contextlib.suppress(OSError):
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self._socket.close()
@@ -181,17 +186,17 @@
     def _wait_first_byte(self) -> bool:
         try:
             with eventlet.Timeout(self._limits().idle_seconds):
-                self._ahead = self._socket.recv(_CHUNK)
-        except (eventlet.Timeout, *_ENDED):
-            # An idle caller that stays silent or resets has lost nothing.
+                self._buffered = self._socket.recv(_CHUNK)
+        except (eventlet.Timeout, *_CONNECTION_ERRORS):
+            # A caller that stays silent or resets while idle has no request pending.
             return False
-        return bool(self._ahead)
+        return bool(self._buffered)
 
     def _read_request(self, started_at: float) -> RawRequest:
         limits = self._limits()
         try:
             with eventlet.Timeout(limits.head_seconds):
-                head, rest = self._read_head(limits)
+                head, remainder = self._read_head(limits)
         except eventlet.Timeout as error:
             raise RequestError(ErrorKind.TOO_SLOW, "the head took too long") from error
         self._h11.receive_data(head)
@@ -200,10 +205,10 @@
             raise RequestError(ErrorKind.BAD_REQUEST, "expected a request")
         _check_lengths(event, limits)
         self._send_continue()
-        if rest:
-            self._h11.receive_data(rest)
+        if remainder:
+            self._h11.receive_data(remainder)
         try:
-            with eventlet.Timeout(_BODY_LIMIT_S):
+            with eventlet.Timeout(_BODY_TIMEOUT_S):
                 body = self._read_body(limits)
         except eventlet.Timeout as error:
             raise RequestError(ErrorKind.TOO_SLOW, "the body took too long") from error
@@ -212,25 +217,27 @@
 
     def _read_head(self, limits: CallerLimits) -> tuple[bytes, bytes]:
         data = (
-            self._ahead.lstrip(b"\r\n") if self._ahead[:1] in b"\r\n" else self._ahead
+            self._buffered.lstrip(b"\r\n")
+            if self._buffered[:1] in b"\r\n"
+            else self._buffered
         )
         while _HEAD_END not in data:
             if len(data) > limits.head_bytes:
                 raise RequestError(ErrorKind.HEAD_TOO_LARGE, "the head is too large")
-            # A head whose lines end in a bare LF has no proper end to wait for.
+            # A head whose lines end in a bare LF never has the proper end.
             if b"\n\n" in data:
                 raise RequestError(ErrorKind.BAD_REQUEST, "malformed head")
             data += self._receive()
-        head, _, rest = data.partition(_HEAD_END)
+        head, _, remainder = data.partition(_HEAD_END)
         if len(head) > limits.head_bytes:
             raise RequestError(ErrorKind.HEAD_TOO_LARGE, "the head is too large")
         if len(_LENGTH_LINE.findall(head)) > 1:
             raise RequestError(ErrorKind.BAD_REQUEST, "two lengths")
         if _BARE_LINE_END.search(head) or _FOLDED.search(head):
-            # Parsers disagree on such lines; a request could hide in what one of
-            # them takes for a header.
+            # Parsers disagree on such lines, so a second request could be smuggled in
+            # what one of them parses as a header.
             raise RequestError(ErrorKind.BAD_REQUEST, "malformed head")
-        return head + _HEAD_END, rest
+        return head + _HEAD_END, remainder
 
     def _send_continue(self) -> None:
         if self._h11.they_are_waiting_for_100_continue:
@@ -238,45 +245,45 @@
             self._write(self._h11.send(event))
 
     def _read_body(self, limits: CallerLimits) -> bytes:
-        parts = []
+        chunks = []
         size = 0
         while True:
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
                 self._h11.receive_data(self._receive())
             elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
+                chunks.append(bytes(event.data))
                 size += len(event.data)
                 if size > limits.body_bytes:
                     raise RequestError(ErrorKind.TOO_LARGE, "the body is too large")
             else:
-                return b"".join(parts)
+                return b"".join(chunks)
 
     def _receive(self) -> bytes:
         try:
             data = self._socket.recv(_CHUNK)
-        except _ENDED as error:
+        except _CONNECTION_ERRORS as error:
             raise CallerLeftError("reset") from error
         if not data:
             raise CallerLeftError("closed")
         return data
 
-    def _watch(self, worker: GreenThread) -> None:
-        while len(self._ahead) < _MAX_AHEAD:
+    def _watch_for_disconnect(self, worker: GreenThread) -> None:
+        while len(self._buffered) < _MAX_BUFFERED:
             try:
                 data = self._socket.recv(_CHUNK)
-            except _ENDED:
+            except _CONNECTION_ERRORS:
                 data = b""
             if not data:
                 eventlet.kill(worker, CallerLeftError("closed"))
                 return
-            self._ahead += data
+            self._buffered += data
 
     def _write(self, data: bytes) -> None:
         if not data:
             return
         try:
-            with eventlet.Timeout(_WRITE_LIMIT_S):
+            with eventlet.Timeout(_WRITE_TIMEOUT_S):
                 self._socket.sendall(data)
         except (eventlet.Timeout, OSError) as error:
             raise CallerLeftError("unread") from error
@@ -286,7 +293,7 @@
     names = [name for name, _ in request.headers]
     lengths = [v for name, v in request.headers if name == b"content-length"]
     if len(lengths) > 1 or (lengths and b"transfer-encoding" in names):
-        # Two statements of the length: the next one to parse it may take the other,
+        # The request states its length twice. The next parser may use the other length
         # and see a second request inside the body.
         raise RequestError(ErrorKind.BAD_REQUEST, "two lengths")
     if lengths and int(lengths[0]) > limits.body_bytes:
--- a/packages/serving/bergamotsaddle_serving/log.py
+++ b/packages/serving/bergamotsaddle_serving/log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output, bounded and never blocking."""
+"""Structured log lines on standard output, limited in rate and never blocking."""
 
 import os
 from typing import Any
@@ -9,66 +9,75 @@
 
 from bergamotsaddle_daemon.clock import now
 
-# Green os functions would wait on the hub for a reader that may never come.
+# The green versions of os functions would wait on the hub, without end if the reader of
+# the log has stopped.
 _os = patcher.original("os")
 
-# Lines a second that a daemon writes at most, in total; a day of ordinary load takes a
-# tenth of it, and a core spends 2 % on it (20 us a line).
+# Maximum number of lines per second. Ordinary load needs a tenth of it. At the maximum,
+# logging takes 2 % of a core (20 us per line).
 LINES_PER_S = 1000.0
-# The last part of each second's lines is kept for those that explain a refusal or a
-# failure, which is what somebody will look for afterwards.
-_KEPT_FOR_FAILURES = 300.0
+# The last lines of each second's budget are reserved for rejections and failures, which
+# operators search for afterwards.
+_RESERVED_FOR_FAILURES = 300.0
 _DROP_REPORT_S = 5.0
 
 
 class BoundedOutput:
-    """Writes whole lines to a descriptor, or drops and counts them.
+    """Writes complete lines to a file descriptor, or drops and counts them.
 
-    A reader that stops reading would block a process that writes to its pipe, and every
-    caller with it. Here a line that doesn't fit at once is dropped.
+    If the reader of a pipe stops reading, the writing process blocks, and with it all
+    its callers. This class drops a line that can't be written at once instead.
 
     Args:
-        descriptor: Where to write; it is made non-blocking.
+        descriptor: Descriptor to write to; it is made non-blocking.
+
+    Attributes:
+        dropped: Number of dropped lines that have not been reported yet.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._rest = b""
-        self._left = LINES_PER_S
+        self._unsent = b""
+        self._remaining_lines = LINES_PER_S
         self._filled_at = now()
         self._reported_at = now()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes, *, is_failure: bool) -> None:
-        """Write a line without its end, or drop it."""
-        if not self._take(is_failure) or not self._push(line + b"\n"):
+        """Write or drop a line.
+
+        Args:
+            line: The line without its line end.
+            is_failure: Whether it may use the lines reserved for failures.
+        """
+        if not self._try_spend_line(is_failure) or not self._write_buffered(line + b"\n"):
             self.dropped += 1
             return
         if self.dropped and now() - self._reported_at > _DROP_REPORT_S:
             self._report()
 
-    def _take(self, is_failure: bool) -> bool:
-        moment = now()
-        gained = (moment - self._filled_at) * LINES_PER_S
-        self._left = min(LINES_PER_S, self._left + gained)
-        self._filled_at = moment
-        if self._left < (1.0 if is_failure else _KEPT_FOR_FAILURES):
+    def _try_spend_line(self, is_failure: bool) -> bool:
+        at = now()
+        refill = (at - self._filled_at) * LINES_PER_S
+        self._remaining_lines = min(LINES_PER_S, self._remaining_lines + refill)
+        self._filled_at = at
+        if self._remaining_lines < (1.0 if is_failure else _RESERVED_FOR_FAILURES):
             return False
-        self._left -= 1.0
+        self._remaining_lines -= 1.0
         return True
 
-    def _push(self, data: bytes) -> bool:
-        # What is left of a line that was written in part goes out first, since the
-        # lines after it could not be read otherwise.
-        if self._rest:
-            self._rest = self._rest[self._write(self._rest) :]
-            if self._rest:
+    def _write_buffered(self, data: bytes) -> bool:
+        # The rest of a partly written line goes first, because the lines after it would
+        # be unreadable otherwise.
+        if self._unsent:
+            self._unsent = self._unsent[self._write(self._unsent) :]
+            if self._unsent:
                 return False
         written = self._write(data)
         if not written:
             return False
-        self._rest = data[written:]
+        self._unsent = data[written:]
         return True
 
     def _write(self, data: bytes) -> int:
@@ -77,18 +86,18 @@
         except BlockingIOError:
             return 0
         except OSError:
-            # Nobody reads standard output any more; there is nowhere to say so.
+            # Standard output has no reader any more, so the error can't be reported.
             return 0
 
     def _report(self) -> None:
         line = msgspec.json.encode({"event": "log_dropped", "lines": self.dropped})
-        if self._push(line + b"\n"):
+        if self._write_buffered(line + b"\n"):
             self.dropped = 0
             self._reported_at = now()
 
 
 class _LineLogger:
-    """What structlog hands its rendered lines to."""
+    """The logger that receives structlog's rendered lines."""
 
     def __init__(self, output: BoundedOutput) -> None:
         self._output = output
@@ -106,11 +115,11 @@
 def make_logger(
     instance: str, output: BoundedOutput
 ) -> structlog.typing.FilteringBoundLogger:
-    """Make the logger of an instance, one JSON object a line.
+    """Make the logger of an instance, which writes one JSON object per line.
 
     Args:
-        instance: Named in each line.
-        output: Where the lines go.
+        instance: Id of the instance, added to each line.
+        output: Output that the lines are written to.
     """
     return structlog.wrap_logger(
         _LineLogger(output),
