--- a/packages/cli/bergamotsaddle_cli/app.py
+++ b/packages/cli/bergamotsaddle_cli/app.py
@@ -2,10 +2,7 @@
 
 from cleo.application import Application
 
-from bergamotsaddle_cli.files import CheckCommand, DiffCommand, DigestCommand
-from bergamotsaddle_cli.reviewing import ReviewCommand
-from bergamotsaddle_cli.sending import SendCommand
-from bergamotsaddle_cli.state import (
+from bergamotsaddle_cli.daemon_commands import (
     ConfigCommand,
     CostsCommand,
     ExplainCommand,
@@ -14,8 +11,11 @@
     TeamsCommand,
     ZonesCommand,
 )
+from bergamotsaddle_cli.file_commands import CheckCommand, DiffCommand, DigestCommand
+from bergamotsaddle_cli.review_command import ReviewCommand
+from bergamotsaddle_cli.send_command import SendCommand
 from bergamotsaddle_cli.suspects import SuspectsCommand
-from bergamotsaddle_cli.waiting import WaitCommand
+from bergamotsaddle_cli.wait_command import WaitCommand
 
 COMMANDS = (
     CheckCommand,
--- a/packages/cli/bergamotsaddle_cli/cause.py
+++ b/packages/cli/bergamotsaddle_cli/cause.py
@@ -9,7 +9,7 @@
 _SLOW_S = 0.2
 
 
-def tell_cause(story: Sequence[LogLine]) -> str:
+def describe_cause(story: Sequence[LogLine]) -> str:
     """Name the cause of a request's end.
 
     Args:
--- a/packages/cli/bergamotsaddle_cli/state.py
+++ b/packages/cli/bergamotsaddle_cli/daemon_commands.py
@@ -11,8 +11,8 @@
 from cleo.formatters.formatter import Formatter
 from cleo.helpers import argument, option
 
-from bergamotsaddle_cli.cause import tell_cause
-from bergamotsaddle_cli.logs import LogLine, read_story
+from bergamotsaddle_cli.cause import describe_cause
+from bergamotsaddle_cli.logs import LogLine, read_request_lines
 from bergamotsaddle_cli.pages import Page, Pages
 
 EXIT_NOT_FOUND = 1
@@ -33,7 +33,7 @@
 JSON = option("json", None, "Print JSON for programs.", flag=True)
 
 
-class AskingCommand(Command):
+class DaemonCommand(Command):
     """A command that asks one or more daemons."""
 
     options = [AT, JSON]
@@ -52,36 +52,36 @@
         except ValueError as error:
             self.line_error(f"--at: {error}")
             return EXIT_INVALID
-        return self.ask(pages)
+        return self.query(pages)
 
-    def ask(self, pages: Pages) -> int:
+    def query(self, pages: Pages) -> int:
         """Do the command's own part."""
         raise NotImplementedError
 
-    def say_json(self, content: Any) -> None:
+    def print_json(self, content: Any) -> None:
         """Print JSON on one line."""
         self.line(msgspec.json.encode(content).decode())
 
-    def say_failures(self, failures: list[str]) -> int:
+    def print_failures(self, failures: list[str]) -> int:
         """Print who can't be reached; returns the exit status."""
         for failure in failures:
             self.line_error(failure)
         return EXIT_UNREACHABLE if failures else 0
 
 
-class _RowsCommand(AskingCommand):
+class _RowsCommand(DaemonCommand):
     """Shows a page of rows, each daemon's after the other's."""
 
     page = ""
 
-    def ask(self, pages: Pages) -> int:
+    def query(self, pages: Pages) -> int:
         """Read and show."""
         read, failures = pages.read_all(self.page)
         if self.option("json"):
-            self.say_json({page.address: page.content for page in read})
+            self.print_json({page.address: page.content for page in read})
         else:
             self._show(read)
-        return self.say_failures(failures)
+        return self.print_failures(failures)
 
     def _show(self, read: list[Page]) -> None:
         for page in read:
@@ -127,7 +127,7 @@
     page = "costs"
 
 
-class StatusCommand(AskingCommand):
+class StatusCommand(DaemonCommand):
     """Shows daemons."""
 
     name = "status"
@@ -147,17 +147,17 @@
         "waiting",
     )
 
-    def ask(self, pages: Pages) -> int:
+    def query(self, pages: Pages) -> int:
         """Read and show."""
         read, failures = pages.read_all("status")
         if self.option("json"):
-            self.say_json({page.address: page.content for page in read})
-            return self.say_failures(failures)
+            self.print_json({page.address: page.content for page in read})
+            return self.print_failures(failures)
         rows = [[str(page.content[key]) for key in self._HEADERS] for page in read]
         self.render_table(list(self._HEADERS), rows)
         for page in read:
             self._show_troubles(page.content)
-        return self.say_failures(failures)
+        return self.print_failures(failures)
 
     def _show_troubles(self, status: dict[str, Any]) -> None:
         name = status["instance"]
@@ -182,33 +182,33 @@
             self.line(f"{name}: its views are stale")
 
 
-class ConfigCommand(AskingCommand):
+class ConfigCommand(DaemonCommand):
     """Prints the declaration in force."""
 
     name = "config"
     description = "Prints the declaration in force at the first daemon that answers."
 
-    def ask(self, pages: Pages) -> int:
+    def query(self, pages: Pages) -> int:
         """Read and print."""
         read, failures = pages.read_all("config")
         if not read:
-            return self.say_failures(failures)
+            return self.print_failures(failures)
         content = read[0].content
         if self.option("json"):
-            self.say_json(content)
+            self.print_json(content)
         else:
             sys.stdout.write(content["text"])
         return 0
 
 
-class ExplainCommand(AskingCommand):
+class ExplainCommand(DaemonCommand):
     """Shows the decisions made for a request."""
 
     name = "explain"
     description = "Shows every decision made for a request, by its X-Request-Id."
     arguments = [argument("request", "Id of the request.")]
     options = [
-        *AskingCommand.options,
+        *DaemonCommand.options,
         option(
             "log",
             None,
@@ -223,12 +223,12 @@
         if not self.option("log"):
             return super().handle()
         try:
-            story = read_story(self.argument("request"), self.option("log"))
+            story = read_request_lines(self.argument("request"), self.option("log"))
         except OSError as error:
             self.line_error(str(error))
             return EXIT_INVALID
         if self.option("json"):
-            self.say_json([line._asdict() for line in story])
+            self.print_json([line._asdict() for line in story])
         elif story:
             self._show_story(story)
         if story:
@@ -253,14 +253,14 @@
                 )
             )
         self.line("")
-        self.line(tell_cause(story))
+        self.line(describe_cause(story))
 
-    def ask(self, pages: Pages) -> int:
+    def query(self, pages: Pages) -> int:
         """Find the daemons that know the request and show what they decided."""
         read, failures = pages.read_all(f"explain/{self.argument('request')}")
         known = [page for page in read if page.content]
         if self.option("json"):
-            self.say_json({page.address: page.content for page in known})
+            self.print_json({page.address: page.content for page in known})
         for page in [] if self.option("json") else known:
             self.line(page.address)
             began = page.content[0]["at"]
@@ -279,7 +279,7 @@
         if known:
             return 0
         if failures:
-            return self.say_failures(failures)
+            return self.print_failures(failures)
         self.line_error("no daemon asked remembers this request")
         return EXIT_NOT_FOUND
 
--- a/packages/cli/bergamotsaddle_cli/log_reading.py
+++ b/packages/cli/bergamotsaddle_cli/log_command.py
@@ -6,8 +6,8 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
+from bergamotsaddle_cli.daemon_commands import EXIT_INVALID, JSON
 from bergamotsaddle_cli.logs import read_lines
-from bergamotsaddle_cli.state import EXIT_INVALID, JSON
 
 LOG = option(
     "log",
--- a/packages/cli/bergamotsaddle_cli/logs.py
+++ b/packages/cli/bergamotsaddle_cli/logs.py
@@ -28,7 +28,7 @@
     details: dict[str, Any]
 
 
-def read_story(request: str, names: Iterable[str]) -> list[LogLine]:
+def read_request_lines(request: str, names: Iterable[str]) -> list[LogLine]:
     """Read all lines about a request, in order of time.
 
     Args:
--- a/packages/cli/bergamotsaddle_cli/pages.py
+++ b/packages/cli/bergamotsaddle_cli/pages.py
@@ -13,7 +13,7 @@
 _NOT_FOUND = 404
 
 
-class UnreachableError(BergamotsaddleError):
+class DaemonUnreachableError(BergamotsaddleError):
     """A daemon that gave no usable answer."""
 
 
@@ -53,11 +53,11 @@
         try:
             reply = self._http.request("GET", url, timeout=_LIMIT)
         except urllib3.exceptions.HTTPError as error:
-            raise UnreachableError(f"{address}: {error}") from error
+            raise DaemonUnreachableError(f"{address}: {error}") from error
         if reply.status == _NOT_FOUND:
             return Page(address, None)
         if reply.status != _OK:
-            raise UnreachableError(f"{address}: status {reply.status}")
+            raise DaemonUnreachableError(f"{address}: status {reply.status}")
         return Page(address, msgspec.json.decode(reply.data))
 
     def read_all(self, path: str) -> tuple[list[Page], list[str]]:
@@ -71,6 +71,6 @@
         for address in self.addresses:
             try:
                 pages.append(self.read(address, path))
-            except UnreachableError as error:
+            except DaemonUnreachableError as error:
                 failures.append(str(error))
         return pages, failures
--- a/packages/cli/bergamotsaddle_cli/review.py
+++ b/packages/cli/bergamotsaddle_cli/review.py
@@ -11,7 +11,7 @@
 _SPAN_S = 10.0
 
 
-class Spread(TypedDict):
+class RatioQuantiles(TypedDict):
     """Quantiles of ratios of actual to expected times."""
 
     count: int
@@ -19,7 +19,7 @@
     p90: float
 
 
-class Calls(TypedDict):
+class CallStats(TypedDict):
     """The calls of a stage service.
 
     Attributes:
@@ -39,7 +39,7 @@
     away: int
 
 
-class Ends(TypedDict):
+class OutcomeCounts(TypedDict):
     """How the requests of a route ended.
 
     Attributes:
@@ -55,7 +55,7 @@
     other: int
 
 
-class Span(TypedDict):
+class TimeSpan(TypedDict):
     """Ten seconds of requests by when they ended, and the daemons' usage in them.
 
     Attributes:
@@ -89,12 +89,12 @@
         binds: What cost most, in one sentence.
     """
 
-    first_event: Spread
-    engine: Spread
-    by_stage: dict[str, Spread]
-    calls_by_service: dict[str, Calls]
-    ends_by_route: dict[str, Ends]
-    spans: list[Span]
+    first_event: RatioQuantiles
+    engine: RatioQuantiles
+    by_stage: dict[str, RatioQuantiles]
+    calls_by_service: dict[str, CallStats]
+    ends_by_route: dict[str, OutcomeCounts]
+    spans: list[TimeSpan]
     lost_pieces: int
     binds: str
 
@@ -102,7 +102,7 @@
 Line = dict[str, Any]
 
 
-def review(lines: Iterable[Line]) -> Review:
+def review_logs(lines: Iterable[Line]) -> Review:
     """Work out the figures from the lines of any number of daemons.
 
     Args:
@@ -142,11 +142,11 @@
     return "lost" if line["request"] in expected else "other"
 
 
-def _spread(pairs: Iterable[tuple[float, float]]) -> Spread:
+def _spread(pairs: Iterable[tuple[float, float]]) -> RatioQuantiles:
     ratios = sorted(
         actual / max(_LEAST_EXPECTED_S, expected) for actual, expected in pairs
     )
-    return Spread(
+    return RatioQuantiles(
         count=len(ratios), median=_quantile(ratios, 0.5), p90=_quantile(ratios, 0.9)
     )
 
@@ -157,7 +157,7 @@
     return round(ordered[min(len(ordered) - 1, int(part * len(ordered)))], 2)
 
 
-def _by_stage(lines: Iterable[Line]) -> dict[str, Spread]:
+def _by_stage(lines: Iterable[Line]) -> dict[str, RatioQuantiles]:
     pairs: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for line in lines:
         count = len(line["stages"])
@@ -166,17 +166,17 @@
     return {name: _spread(pairs[name]) for name in sorted(pairs)}
 
 
-def _calls(lines: Iterable[Line]) -> dict[str, Calls]:
+def _calls(lines: Iterable[Line]) -> dict[str, CallStats]:
     by_service: dict[str, list[Line]] = defaultdict(list)
     for line in lines:
         by_service[line["service"]].append(line)
     return {name: _calls_of(found) for name, found in sorted(by_service.items())}
 
 
-def _calls_of(lines: list[Line]) -> Calls:
+def _calls_of(lines: list[Line]) -> CallStats:
     busy = [line["pieces"] for line in lines if line["waiting"]]
     unmade = Counter(reason for line in lines for reason in line["unmade"])
-    return Calls(
+    return CallStats(
         calls=len(lines),
         pieces=round(sum(line["pieces"] for line in lines) / len(lines), 1),
         while_waiting=round(sum(busy) / len(busy), 1) if busy else 0.0,
@@ -186,15 +186,15 @@
     )
 
 
-def _ends(lines: Iterable[Line], kinds: dict[str, str]) -> dict[str, Ends]:
+def _ends(lines: Iterable[Line], kinds: dict[str, str]) -> dict[str, OutcomeCounts]:
     counts: dict[str, Counter[str]] = defaultdict(Counter)
     for line in lines:
         counts[line["route"] or "none"][kinds[line["request"]]] += 1
     return {route: _as_ends(counts[route]) for route in sorted(counts)}
 
 
-def _as_ends(count: Counter[str]) -> Ends:
-    return Ends(
+def _as_ends(count: Counter[str]) -> OutcomeCounts:
+    return OutcomeCounts(
         whole=count[_WHOLE],
         turned_away=count["turned_away"],
         lost=count["lost"],
@@ -204,7 +204,7 @@
 
 def _spans(
     ends: Sequence[Line], kinds: dict[str, str], usages: Sequence[Line]
-) -> list[Span]:
+) -> list[TimeSpan]:
     if not ends:
         return []
     first = min(map(_seconds, ends))
@@ -220,9 +220,9 @@
     ]
 
 
-def _span(begins: float, count: Counter[str], usages: Sequence[Line]) -> Span:
+def _span(begins: float, count: Counter[str], usages: Sequence[Line]) -> TimeSpan:
     cpu = sum(line["cpu"] for line in usages) / max(1, len(usages))
-    return Span(
+    return TimeSpan(
         begins=begins,
         whole=count[_WHOLE],
         turned_away=count["turned_away"],
@@ -245,7 +245,7 @@
     return sum(len(line["stages"]) for line in ended_badly)
 
 
-def _binds(totals: Counter[str], calls: dict[str, Calls]) -> str:
+def _binds(totals: Counter[str], calls: dict[str, CallStats]) -> str:
     served = totals[_WHOLE]
     if not served and not sum(totals.values()):
         return "No request ended in these logs."
@@ -262,7 +262,7 @@
     return f"{begin}; {scarce} was the scarcest stage, with {fill} while others waited."
 
 
-def _scarcest(calls: dict[str, Calls]) -> str | None:
+def _scarcest(calls: dict[str, CallStats]) -> str | None:
     """The service whose calls went out emptiest while pieces waited."""
     waiting = {n: c for n, c in calls.items() if c["while_waiting"]}
     return min(
--- a/packages/cli/bergamotsaddle_cli/reviewing.py
+++ b/packages/cli/bergamotsaddle_cli/review_command.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from bergamotsaddle_cli.log_reading import LogsCommand
-from bergamotsaddle_cli.review import Review, Spread, review
+from bergamotsaddle_cli.log_command import LogsCommand
+from bergamotsaddle_cli.review import RatioQuantiles, Review, review_logs
 
 EXIT_EMPTY = 1
 
@@ -19,7 +19,7 @@
 
     def show(self, lines: Iterator[dict[str, Any]]) -> int:
         """Review; returns 0, 1 if the logs say nothing."""
-        found = review(lines)
+        found = review_logs(lines)
         if not found.ends_by_route:
             self.line_error("no request ended in these logs")
             return EXIT_EMPTY
@@ -62,7 +62,7 @@
         self.line(f"stages done for requests that were lost: {found.lost_pieces}")
         self.line(found.binds)
 
-    def _show_spread(self, name: str, spread: Spread) -> None:
+    def _show_spread(self, name: str, spread: RatioQuantiles) -> None:
         self.line(
             f"{name:26} {spread['count']:6} {spread['median']:7} {spread['p90']:5}"
         )
--- a/packages/cli/bergamotsaddle_cli/suspects.py
+++ b/packages/cli/bergamotsaddle_cli/suspects.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from bergamotsaddle_cli.log_reading import LogsCommand
+from bergamotsaddle_cli.log_command import LogsCommand
 
 
 class Suspect(msgspec.Struct):
--- a/packages/cli/bergamotsaddle_cli/waiting.py
+++ b/packages/cli/bergamotsaddle_cli/wait_command.py
@@ -4,14 +4,18 @@
 
 from cleo.helpers import argument, option
 
+from bergamotsaddle_cli.daemon_commands import (
+    EXIT_INVALID,
+    EXIT_NOT_FOUND,
+    DaemonCommand,
+)
 from bergamotsaddle_cli.pages import Pages
-from bergamotsaddle_cli.state import EXIT_INVALID, EXIT_NOT_FOUND, AskingCommand
 from bergamotsaddle_contracts.ini import parse_duration
 
 _STEP = 0.2
 
 
-class WaitCommand(AskingCommand):
+class WaitCommand(DaemonCommand):
     """Waits until a revision is in force at every daemon asked."""
 
     name = "wait"
@@ -20,11 +24,11 @@
     )
     arguments = [argument("revision", "The revision.")]
     options = [
-        *AskingCommand.options,
+        *DaemonCommand.options,
         option("limit", None, "Longest wait.", flag=False, default="30s"),
     ]
 
-    def ask(self, pages: Pages) -> int:
+    def query(self, pages: Pages) -> int:
         """Wait; returns 0 once in force, 1 after the limit."""
         try:
             revision = int(self.argument("revision"))
@@ -59,6 +63,6 @@
 
     def _say_done(self, revision: int, count: int, passed: float) -> None:
         if self.option("json"):
-            self.say_json({"revision": revision, "seconds": round(passed, 2)})
+            self.print_json({"revision": revision, "seconds": round(passed, 2)})
             return
         self.line(f"revision {revision} is in force at {count} daemons")
--- a/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
+++ b/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
@@ -126,11 +126,11 @@
             parts[known.part][label] = known.read(ini, section, label)
         elif section != _TITLE:
             kinds = "|".join(_KIND_BY_NAME)
-            ini.fault(section, "", "", f"expected [{kinds} NAME]")
+            ini.add_fault(section, "", "", f"expected [{kinds} NAME]")
     _check_references(ini, parts["zones"], parts["targets"], parts["pipelines"])
     _check_models(ini, parts["targets"], parts["models"])
     _check_keys(ini, parts["teams"])
-    ini.close()
+    ini.raise_for_faults()
     return Declaration(
         name=title,
         revision=revision,
@@ -213,15 +213,15 @@
     for target in targets.values():
         section = f"target {target.id}"
         if target.zone and target.zone not in zones:
-            ini.fault(section, "zone", target.zone, "no such zone is declared")
+            ini.add_fault(section, "zone", target.zone, "no such zone is declared")
         if target.cold_limit > target.limit:
             value = str(target.cold_limit)
-            ini.fault(section, "cold_limit", value, f"above limit = {target.limit}")
+            ini.add_fault(section, "cold_limit", value, f"above limit = {target.limit}")
         agreed = repeatable_by_kind.setdefault(target.kind, target.repeatable)
         if agreed != target.repeatable:
             value = "yes" if target.repeatable else "no"
             reason = f"differs from the other targets of kind {target.kind}"
-            ini.fault(section, "repeatable", value, reason)
+            ini.add_fault(section, "repeatable", value, reason)
     models = {m for t in targets.values() for m in t.models if t.kind == "generate"}
     for pipeline in pipelines.values():
         _check_stages(ini, pipeline, models, repeatable_by_kind)
@@ -234,7 +234,7 @@
     for model in models.values():
         if model.name not in held:
             reason = "no target may hold this model"
-            ini.fault(f"model {model.name}", "", "", reason)
+            ini.add_fault(f"model {model.name}", "", "", reason)
 
 
 def _check_stages(
@@ -246,13 +246,15 @@
     section = f"pipeline {pipeline.name}"
     for stage in pipeline.stages:
         if stage not in repeatable_by_kind:
-            ini.fault(section, "stages", stage, "no target of this kind is declared")
+            ini.add_fault(
+                section, "stages", stage, "no target of this kind is declared"
+            )
         elif not repeatable_by_kind[stage]:
             reason = "a stage must be repeatable; call such a service by itself"
-            ini.fault(section, "stages", stage, reason)
+            ini.add_fault(section, "stages", stage, reason)
     if pipeline.model and pipeline.model not in models:
         reason = "no generate target serves this model"
-        ini.fault(section, "model", pipeline.model, reason)
+        ini.add_fault(section, "model", pipeline.model, reason)
 
 
 def _check_keys(ini: IniFile, teams: dict[str, Team]) -> None:
@@ -262,4 +264,4 @@
             owner = owners.setdefault(digest, team.name)
             if owner != team.name:
                 reason = f"also a key of team {owner}"
-                ini.fault(f"team {team.name}", "key_digests", digest, reason)
+                ini.add_fault(f"team {team.name}", "key_digests", digest, reason)
--- a/packages/contracts/bergamotsaddle_contracts/errors.py
+++ b/packages/contracts/bergamotsaddle_contracts/errors.py
@@ -37,7 +37,7 @@
     INTERNAL = "internal"
 
 
-class Answer(NamedTuple):
+class ErrorSpec(NamedTuple):
     """What a caller is told for one error kind.
 
     Attributes:
@@ -51,27 +51,27 @@
     retry_after: float | None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, Ran.NO, None),
-    ErrorKind.UNAUTHENTICATED: Answer(401, Ran.NO, None),
-    ErrorKind.NOT_FOUND: Answer(404, Ran.NO, None),
-    ErrorKind.TOO_LARGE: Answer(413, Ran.NO, None),
-    ErrorKind.HEAD_TOO_LARGE: Answer(431, Ran.NO, None),
-    ErrorKind.TOO_SLOW: Answer(408, Ran.NO, None),
-    ErrorKind.TICKET_REQUIRED: Answer(428, Ran.NO, None),
-    ErrorKind.TICKET_INVALID: Answer(400, Ran.NO, None),
-    ErrorKind.TICKET_REUSED: Answer(422, Ran.UNKNOWN, None),
-    ErrorKind.TICKET_EXPIRED: Answer(410, Ran.NO, 0.0),
-    ErrorKind.NOT_RUN: Answer(503, Ran.NO, 0.5),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(502, Ran.UNKNOWN, 5.0),
-    ErrorKind.OVERLOADED: Answer(429, Ran.NO, 1.0),
-    ErrorKind.DEADLINE_INFEASIBLE: Answer(503, Ran.NO, 1.0),
-    ErrorKind.DEADLINE_PASSED: Answer(504, Ran.YES, 1.0),
-    ErrorKind.NO_TARGET: Answer(503, Ran.NO, 1.0),
-    ErrorKind.TARGET_FAILED: Answer(502, Ran.YES, 1.0),
-    ErrorKind.NOT_READY: Answer(503, Ran.NO, 0.1),
-    ErrorKind.HELD_BACK: Answer(503, Ran.NO, None),
-    ErrorKind.INTERNAL: Answer(500, Ran.UNKNOWN, 1.0),
+ERROR_SPECS: dict[ErrorKind, ErrorSpec] = {
+    ErrorKind.BAD_REQUEST: ErrorSpec(400, Ran.NO, None),
+    ErrorKind.UNAUTHENTICATED: ErrorSpec(401, Ran.NO, None),
+    ErrorKind.NOT_FOUND: ErrorSpec(404, Ran.NO, None),
+    ErrorKind.TOO_LARGE: ErrorSpec(413, Ran.NO, None),
+    ErrorKind.HEAD_TOO_LARGE: ErrorSpec(431, Ran.NO, None),
+    ErrorKind.TOO_SLOW: ErrorSpec(408, Ran.NO, None),
+    ErrorKind.TICKET_REQUIRED: ErrorSpec(428, Ran.NO, None),
+    ErrorKind.TICKET_INVALID: ErrorSpec(400, Ran.NO, None),
+    ErrorKind.TICKET_REUSED: ErrorSpec(422, Ran.UNKNOWN, None),
+    ErrorKind.TICKET_EXPIRED: ErrorSpec(410, Ran.NO, 0.0),
+    ErrorKind.NOT_RUN: ErrorSpec(503, Ran.NO, 0.5),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorSpec(502, Ran.UNKNOWN, 5.0),
+    ErrorKind.OVERLOADED: ErrorSpec(429, Ran.NO, 1.0),
+    ErrorKind.DEADLINE_INFEASIBLE: ErrorSpec(503, Ran.NO, 1.0),
+    ErrorKind.DEADLINE_PASSED: ErrorSpec(504, Ran.YES, 1.0),
+    ErrorKind.NO_TARGET: ErrorSpec(503, Ran.NO, 1.0),
+    ErrorKind.TARGET_FAILED: ErrorSpec(502, Ran.YES, 1.0),
+    ErrorKind.NOT_READY: ErrorSpec(503, Ran.NO, 0.1),
+    ErrorKind.HELD_BACK: ErrorSpec(503, Ran.NO, None),
+    ErrorKind.INTERNAL: ErrorSpec(500, Ran.UNKNOWN, 1.0),
 }
 
 
@@ -98,7 +98,7 @@
         retry_after: float | None = None,
     ) -> None:
         super().__init__(detail)
-        answer = ANSWERS[kind]
+        answer = ERROR_SPECS[kind]
         self.kind = kind
         self.detail = detail
         self.status = answer.status
--- a/packages/contracts/bergamotsaddle_contracts/ini.py
+++ b/packages/contracts/bergamotsaddle_contracts/ini.py
@@ -120,7 +120,7 @@
         """Names of the sections in the order of the file."""
         return list(self._sections)
 
-    def fault(self, section: str, key: str, value: str, reason: str) -> None:
+    def add_fault(self, section: str, key: str, value: str, reason: str) -> None:
         """Note one fault."""
         self.faults.append(Fault(self.name, section, key, value, reason))
 
@@ -146,15 +146,15 @@
         text = self._sections.get(section, {}).get(key)
         if text is None:
             if default is None:
-                self.fault(section, key, "", "missing")
+                self.add_fault(section, key, "", "missing")
             return default
         try:
             return parse(text)
         except ValueError as error:
-            self.fault(section, key, text, str(error))
+            self.add_fault(section, key, text, str(error))
             return default
 
-    def close(self) -> None:
+    def raise_for_faults(self) -> None:
         """Note keys that nobody read, then raise if there is any fault.
 
         Raises:
@@ -163,7 +163,7 @@
         for section, keys in self._read.items():
             for key, value in self._sections.get(section, {}).items():
                 if key not in keys:
-                    self.fault(section, key, value, "unknown key")
+                    self.add_fault(section, key, value, "unknown key")
         if self.faults:
             raise InvalidFileError(self.faults)
 
@@ -174,17 +174,19 @@
             strict.read_string(text)
             return strict
         except configparser.MissingSectionHeaderError as error:
-            self.fault("", f"line {error.lineno}", error.line, "no section before it")
+            self.add_fault(
+                "", f"line {error.lineno}", error.line, "no section before it"
+            )
             return self._parse(_blank_lines(text, [error.lineno]))
         except configparser.ParsingError as error:
             for line, content in error.errors:
-                self.fault("", f"line {line}", content, "not an INI line")
+                self.add_fault("", f"line {line}", content, "not an INI line")
             return self._parse(_blank_lines(text, [line for line, _ in error.errors]))
         except configparser.DuplicateSectionError as error:
-            self.fault(error.section, "", "", f"line {error.lineno}: section twice")
+            self.add_fault(error.section, "", "", f"line {error.lineno}: section twice")
         except configparser.DuplicateOptionError as error:
             reason = f"line {error.lineno}: key twice"
-            self.fault(error.section, error.option, "", reason)
+            self.add_fault(error.section, error.option, "", reason)
         lenient = configparser.ConfigParser(interpolation=None, strict=False)
         lenient.read_string(text)
         return lenient
--- a/packages/contracts/bergamotsaddle_contracts/messages.py
+++ b/packages/contracts/bergamotsaddle_contracts/messages.py
@@ -54,7 +54,7 @@
     clock: float
     echo: float
     echo_incarnation: str
-    asked_age: float
+    platform_query_age: float
     revision: int
     digest: str
     list_version: int
@@ -219,7 +219,7 @@
     payload: bytes
 
 
-ANSWER_BY_QUERY: dict[type, type] = {
+RESPONSE_TYPES: dict[type, type] = {
     StartRecord: StartAnswer,
     OutcomeRecord: Done,
     OutcomeQuery: Outcome,
@@ -250,13 +250,13 @@
         raise ValueError(f"{kind.__name__}: {error}") from error
 
 
-def seal(message: Any, key: bytes) -> bytes:
+def sign(message: Any, key: bytes) -> bytes:
     """Write a message that only holders of the key can make."""
     body = encode(message)
     return _mac(body, key) + body
 
 
-def open_sealed(payload: bytes, kind: type, key: bytes) -> Any:
+def verify_signed(payload: bytes, kind: type, key: bytes) -> Any:
     """Read a message of a given type and check who made it.
 
     Raises:
--- a/packages/contracts/bergamotsaddle_contracts/ticket.py
+++ b/packages/contracts/bergamotsaddle_contracts/ticket.py
@@ -39,7 +39,7 @@
     issued_at: float
     witness: str
     witness_incarnation: str
-    witness_mark: float
+    witness_clock: float
 
 
 def make_nonce() -> str:
@@ -47,13 +47,13 @@
     return secrets.token_urlsafe(_NONCE_BYTES)
 
 
-def seal_ticket(ticket: Ticket, key: bytes) -> str:
+def sign_ticket(ticket: Ticket, key: bytes) -> str:
     """Write a ticket as text that only holders of the key can make."""
     body = msgspec.msgpack.encode(ticket)
     return base64.urlsafe_b64encode(body + _mac(body, key)).decode().rstrip("=")
 
 
-def open_ticket(text: str, key: bytes) -> Ticket:
+def verify_ticket(text: str, key: bytes) -> Ticket:
     """Read a ticket's text and check who made it.
 
     Raises:
--- a/packages/daemon/bergamotsaddle_daemon/datagrams.py
+++ b/packages/daemon/bergamotsaddle_daemon/datagrams.py
@@ -3,7 +3,7 @@
 import socket
 
 from bergamotsaddle_contracts.ini import Address, parse_address
-from bergamotsaddle_contracts.messages import Heartbeat, open_sealed, seal
+from bergamotsaddle_contracts.messages import Heartbeat, sign, verify_signed
 from bergamotsaddle_daemon.peers import Peers
 
 _MAX_DATAGRAM_BYTES = 65_535
@@ -25,7 +25,7 @@
     def send(self, heartbeat: Heartbeat, address: str) -> None:
         """Send one datagram without a guarantee of delivery."""
         try:
-            self._socket.sendto(seal(heartbeat, self._key), parse_address(address))
+            self._socket.sendto(sign(heartbeat, self._key), parse_address(address))
         except OSError:
             # A datagram that the network rejects is treated like a lost one.
             return
@@ -35,6 +35,6 @@
         while True:
             try:
                 datagram = self._socket.recv(_MAX_DATAGRAM_BYTES)
-                peers.handle_heartbeat(open_sealed(datagram, Heartbeat, self._key))
+                peers.handle_heartbeat(verify_signed(datagram, Heartbeat, self._key))
             except (ValueError, OSError):
                 continue
--- a/packages/daemon/bergamotsaddle_daemon/links.py
+++ b/packages/daemon/bergamotsaddle_daemon/links.py
@@ -10,7 +10,7 @@
 
 from bergamotsaddle_contracts.errors import PeerUnreachableError
 from bergamotsaddle_contracts.ini import Address
-from bergamotsaddle_contracts.messages import ANSWER_BY_QUERY, open_sealed, seal
+from bergamotsaddle_contracts.messages import RESPONSE_TYPES, sign, verify_signed
 from bergamotsaddle_daemon.hub_bridge import HubBridge
 from bergamotsaddle_daemon.settings import Settings
 
@@ -37,7 +37,7 @@
         """Send a message and wait for the response.
 
         Args:
-            message: One of the queries of ``messages.ANSWER_BY_QUERY``.
+            message: One of the queries of ``messages.RESPONSE_TYPES``.
             timeout: Seconds.
 
         Raises:
@@ -65,10 +65,10 @@
 
     def call(self, message: Any, timeout: float) -> Any:
         """Send a message and wait for the response."""
-        response_type = ANSWER_BY_QUERY[type(message)]
+        response_type = RESPONSE_TYPES[type(message)]
         method = self._channel.unary_unary(f"/{_SERVICE}/{type(message).__name__}")
         done = Event()
-        call = method.future(seal(message, self._key), timeout=timeout)
+        call = method.future(sign(message, self._key), timeout=timeout)
         call.add_done_callback(lambda _: self._bridge.post(done.send))
         with eventlet.Timeout(timeout + _TIMEOUT_MARGIN, False):
             done.wait()
@@ -77,7 +77,7 @@
             call.cancel()
             self._reopen_channel(reason)
             raise PeerUnreachableError(reason)
-        return open_sealed(call.result(), response_type, self._key)
+        return verify_signed(call.result(), response_type, self._key)
 
     def close(self) -> None:
         """Close the channel."""
@@ -147,13 +147,13 @@
 
         def serve(payload: bytes, context: grpc.ServicerContext) -> bytes:
             try:
-                message = open_sealed(payload, message_type, self._key)
+                message = verify_signed(payload, message_type, self._key)
             except ValueError as error:
                 context.abort(grpc.StatusCode.PERMISSION_DENIED, str(error))
             timeout = min(
                 _MAX_SERVE_SECONDS, context.time_remaining() or _MAX_SERVE_SECONDS
             )
             response = self._bridge.call(lambda: handler(message), timeout)
-            return seal(response, self._key)
+            return sign(response, self._key)
 
         return grpc.unary_unary_rpc_method_handler(serve)
--- a/packages/daemon/bergamotsaddle_daemon/peers.py
+++ b/packages/daemon/bergamotsaddle_daemon/peers.py
@@ -230,7 +230,7 @@
         # have just resumed from a pause, so it confirms the views only as of the time
         # when it last queried the platform, with or without success.
         if not self._is_behind(heartbeat):
-            self._views.confirm(heartbeat.echo - heartbeat.asked_age)
+            self._views.confirm(heartbeat.echo - heartbeat.platform_query_age)
         for report in heartbeat.reports:
             target = self._targets.by_id.get(report.target_id)
             if target is not None:
@@ -300,7 +300,7 @@
             clock=now(),
             echo=peer.clock,
             echo_incarnation=peer.incarnation,
-            asked_age=now() - self._views.platform_queried_at,
+            platform_query_age=now() - self._views.platform_queried_at,
             revision=declaration.revision,
             digest=declaration.digest,
             list_version=self._views.instances.version,
--- a/packages/daemon/bergamotsaddle_daemon/settings.py
+++ b/packages/daemon/bergamotsaddle_daemon/settings.py
@@ -187,8 +187,8 @@
     }
     for section in ini.sections:
         if section not in sections:
-            ini.fault(section, "", "", "unknown section")
-    ini.close()
+            ini.add_fault(section, "", "", "unknown section")
+    ini.raise_for_faults()
     return Settings(**sections)
 
 
--- a/packages/daemon/bergamotsaddle_daemon/tickets.py
+++ b/packages/daemon/bergamotsaddle_daemon/tickets.py
@@ -35,8 +35,8 @@
     NO_WITNESS,
     Ticket,
     make_nonce,
-    open_ticket,
-    seal_ticket,
+    sign_ticket,
+    verify_ticket,
 )
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.decisions import DecisionLog
@@ -124,9 +124,9 @@
             issued_at=now(),
             witness=witness.instance.id if witness else NO_WITNESS,
             witness_incarnation=witness.incarnation if witness else "",
-            witness_mark=witness.clock if witness else 0.0,
+            witness_clock=witness.clock if witness else 0.0,
         )
-        return seal_ticket(ticket, self._settings.daemon.peer_key), ticket
+        return sign_ticket(ticket, self._settings.daemon.peer_key), ticket
 
     def verify(self, text: str, team: str, kind: str) -> Ticket:
         """Verify a caller's ticket and return its contents.
@@ -134,7 +134,7 @@
         Raises:
             RequestError: If it is invalid or was issued for another team or kind.
         """
-        ticket = open_ticket(text, self._settings.daemon.peer_key)
+        ticket = verify_ticket(text, self._settings.daemon.peer_key)
         if (ticket.team, ticket.kind) != (team, kind):
             detail = "the ticket is for another team or service"
             raise RequestError(ErrorKind.TICKET_INVALID, detail)
--- a/packages/daemon/bergamotsaddle_daemon/witness.py
+++ b/packages/daemon/bergamotsaddle_daemon/witness.py
@@ -121,7 +121,7 @@
         """
         if ticket.witness_incarnation != self._incarnation:
             return False
-        return now() < ticket.witness_mark + self._retention_seconds
+        return now() < ticket.witness_clock + self._retention_seconds
 
     def _add_record(self, ticket: Ticket, outcome: Outcome) -> None:
         self._records[ticket.nonce] = (now(), outcome)
--- a/packages/serving/bergamotsaddle_serving/log.py
+++ b/packages/serving/bergamotsaddle_serving/log.py
@@ -51,7 +51,9 @@
             line: The line without its line end.
             is_failure: Whether it may use the lines reserved for failures.
         """
-        if not self._try_spend_line(is_failure) or not self._write_buffered(line + b"\n"):
+        if not self._try_spend_line(is_failure) or not self._write_buffered(
+            line + b"\n"
+        ):
             self.dropped += 1
             return
         if self.dropped and now() - self._reported_at > _DROP_REPORT_S:
--- a/packages/serving/bergamotsaddle_serving/server.py
+++ b/packages/serving/bergamotsaddle_serving/server.py
@@ -245,7 +245,9 @@
                 self.logger.warning("accept_failed", reason=str(error))
                 eventlet.sleep(_STOP_POLL_S)
                 continue
-            caller = CallerConnection(sock, self.handler.limits, lambda: self._is_stopping)
+            caller = CallerConnection(
+                sock, self.handler.limits, lambda: self._is_stopping
+            )
             eventlet.spawn_n(self.handler.run, caller)
 
     def _stop(self, listener: socket.socket) -> None:
--- a/packages/serving/bergamotsaddle_serving/settings.py
+++ b/packages/serving/bergamotsaddle_serving/settings.py
@@ -206,5 +206,5 @@
             ini.get("capacity", "link_mbps", _parse_positive, 1_000.0),
         ),
     )
-    ini.close()
+    ini.raise_for_faults()
     return settings
--- a/packages/standins/bergamotsaddle_standins/capacity.py
+++ b/packages/standins/bergamotsaddle_standins/capacity.py
@@ -21,7 +21,12 @@
 from bergamotsaddle_contracts.declaration_reader import parse_declaration
 from bergamotsaddle_contracts.ini import Address
 from bergamotsaddle_contracts.instances import Instance, InstanceList, encode_instances
-from bergamotsaddle_contracts.messages import Heartbeat, TargetReport, open_sealed, seal
+from bergamotsaddle_contracts.messages import (
+    Heartbeat,
+    TargetReport,
+    sign,
+    verify_signed,
+)
 from bergamotsaddle_daemon.decisions import DecisionLog
 from bergamotsaddle_daemon.homes import Homes
 from bergamotsaddle_daemon.platform import HttpReader
@@ -165,11 +170,11 @@
             True,
             reports,
         )
-        datagram = seal(beat, _KEY)
-        send = time_of(lambda beat=beat: [seal(beat, _KEY) for _ in range(1000)])
+        datagram = sign(beat, _KEY)
+        send = time_of(lambda beat=beat: [sign(beat, _KEY) for _ in range(1000)])
         take = time_of(
             lambda data=datagram: [
-                open_sealed(data, Heartbeat, _KEY) for _ in range(1000)
+                verify_signed(data, Heartbeat, _KEY) for _ in range(1000)
             ]
         )
         say("", count, len(datagram), f"{send * 1000:.1f}", f"{take * 1000:.1f}")
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -6,7 +6,7 @@
 import eventlet
 from nose2.tools import params
 
-from bergamotsaddle_contracts.errors import ANSWERS, ErrorKind
+from bergamotsaddle_contracts.errors import ERROR_SPECS, ErrorKind
 from bergamotsaddle_daemon.calls import Reply
 from tests._fakes import FakeFleet, run_green
 from tests._http import ask
@@ -86,7 +86,7 @@
         self.assertEqual((result.value.status, result.value.json["ran"]), (503, "no"))
 
     def test_every_kind_has_an_answer(self):
-        self.assertEqual(set(ANSWERS), set(ErrorKind))
+        self.assertEqual(set(ERROR_SPECS), set(ErrorKind))
 
 
 class LimitTest(CallerCase):
--- a/tests/test_cause.py
+++ b/tests/test_cause.py
@@ -4,7 +4,7 @@
 
 from parameterized import parameterized
 
-from bergamotsaddle_cli.cause import tell_cause
+from bergamotsaddle_cli.cause import describe_cause
 from bergamotsaddle_cli.logs import LogLine
 
 
@@ -38,4 +38,4 @@
         ]
     )
     def test_cause(self, _, story, words):
-        self.assertIn(words, tell_cause(story))
+        self.assertIn(words, describe_cause(story))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 from nose2.tools import params
 
 from bergamotsaddle_cli.app import make_application
-from bergamotsaddle_cli.pages import Page, Pages, UnreachableError
+from bergamotsaddle_cli.pages import DaemonUnreachableError, Page, Pages
 from bergamotsaddle_contracts.errors import InvalidFileError
 from bergamotsaddle_daemon.calls import Reply
 from bergamotsaddle_daemon.settings import parse_settings
@@ -134,7 +134,7 @@
     def read(self, address: str, path: str) -> Page:
         name = {"127.0.0.1:1": "a1", "127.0.0.1:2": "b1"}.get(address)
         if name is None:
-            raise UnreachableError(f"{address}: refused")
+            raise DaemonUnreachableError(f"{address}: refused")
         began = []
         environ = {"PATH_INFO": f"/{path}"}
         app = self.world.daemons[name].operators
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bergamotsaddle_contracts.messages import TargetReport, seal
+from bergamotsaddle_contracts.messages import TargetReport, sign
 from bergamotsaddle_daemon.clock import now
 from tests._fakes import FakeFleet
 from tests._paused import advance
@@ -33,7 +33,7 @@
         reports = self.daemon.reports.heartbeat_reports()
         self.assertEqual(len(reports), 40)
         beat = self.daemon.peers._make_heartbeat(self.daemon.peers.by_id["b1"])
-        self.assertLess(len(seal(beat._replace(reports=reports), KEY)), MTU)
+        self.assertLess(len(sign(beat._replace(reports=reports), KEY)), MTU)
 
     def test_peers_take_them_all_for_warm(self):
         targets = self.fleet.daemons["b1"].targets.by_id.values()
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -9,7 +9,7 @@
 from parameterized import parameterized
 
 from bergamotsaddle_cli.app import make_application
-from bergamotsaddle_cli.review import review
+from bergamotsaddle_cli.review import review_logs
 
 AT = "2026-01-05T08:00:{:02d}Z"
 
@@ -65,14 +65,14 @@
     """Lines of a few requests."""
 
     def test_forecasts_against_what_happened(self):
-        found = review(SERVED)
+        found = review_logs(SERVED)
         self.assertEqual(found.first_event["median"], 2.0)
         self.assertEqual(found.engine["median"], 3.0)
         self.assertEqual(found.by_stage["1 of 1"]["median"], 3.0)
 
     def test_calls(self):
         lines = [called(4), called(2, waiting=3, unmade=["room"]), called(3, waiting=1)]
-        calls = review(lines).calls_by_service["encode"]
+        calls = review_logs(lines).calls_by_service["encode"]
         self.assertEqual(calls["calls"], 3)
         self.assertEqual(calls["most"], 4)
         self.assertEqual(calls["while_waiting"], 2.5)
@@ -80,7 +80,7 @@
 
     def test_spans(self):
         lines = [ended("a", second=1), ended("b", second=12)]
-        self.assertEqual([span["whole"] for span in review(lines).spans], [1, 1])
+        self.assertEqual([span["whole"] for span in review_logs(lines).spans], [1, 1])
 
     def test_usage_of_daemons_stands_beside_the_requests_of_the_time(self):
         lines = [
@@ -89,7 +89,7 @@
             used(0.3, 0.4, second=6),
             ended("b", second=12),
         ]
-        loaded, idle = review(lines).spans
+        loaded, idle = review_logs(lines).spans
         self.assertEqual((loaded["cpu"], loaded["delay"]), (0.2, 0.4))
         self.assertEqual((idle["cpu"], idle["delay"]), (0.0, 0.0))
 
@@ -103,11 +103,11 @@
         ]
     )
     def test_what_bound(self, _, lines, expected):
-        self.assertIn(expected, review(lines).binds)
+        self.assertIn(expected, review_logs(lines).binds)
 
     def test_work_for_lost_requests_is_counted(self):
-        self.assertEqual(review(LOST).lost_pieces, 1)
-        self.assertEqual(review(SERVED).lost_pieces, 0)
+        self.assertEqual(review_logs(LOST).lost_pieces, 1)
+        self.assertEqual(review_logs(SERVED).lost_pieces, 0)
 
 
 class ReviewCommandTest(unittest.TestCase):
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -216,7 +216,7 @@
                 sender="b1",
                 echo=fresh.clock,
                 echo_incarnation=self.daemon.incarnation,
-                asked_age=30.5,
+                platform_query_age=30.5,
             )
         )
         self.assertTrue(self.daemon.views.is_stale())
