--- a/packages/cli/bergamotsaddle_cli/daemon_commands.py
+++ b/packages/cli/bergamotsaddle_cli/daemon_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask daemons: status, zones, targets, teams, costs, config, explain."""
+"""Commands that query daemons, such as status, targets, config and explain."""
 
 import os
 import sys
@@ -19,7 +19,7 @@
 EXIT_INVALID = 2
 EXIT_UNREACHABLE = 3
 ADDRESSES_VARIABLE = "BERGAMOTSADDLE_AT"
-# Of a request's story, so that it fits a terminal.
+# Width of the lines that describe a request, so that they fit a terminal.
 _LINE_WIDTH = 100
 _DETAILS_INDENT = 14
 AT = option(
@@ -34,16 +34,16 @@
 
 
 class DaemonCommand(Command):
-    """A command that asks one or more daemons."""
+    """A command that queries one or more daemons."""
 
     options = [AT, JSON]
 
     def handle(self) -> int:
-        """Ask; returns 0, 2 without a valid address, 3 if a daemon is silent."""
+        """Query the daemons; return 2 without valid addresses, 3 if one is silent."""
         addresses = list(self.option("at"))
         if not addresses:
-            words = os.environ.get(ADDRESSES_VARIABLE, "").split(",")
-            addresses = [word.strip() for word in words if word.strip()]
+            items = os.environ.get(ADDRESSES_VARIABLE, "").split(",")
+            addresses = [item.strip() for item in items if item.strip()]
         if not addresses:
             self.line_error(f"give --at IP:port or set {ADDRESSES_VARIABLE}")
             return EXIT_INVALID
@@ -55,37 +55,37 @@
         return self.query(pages)
 
     def query(self, pages: Pages) -> int:
-        """Do the command's own part."""
+        """Run the command on the daemons' pages and return the exit status."""
         raise NotImplementedError
 
     def print_json(self, content: Any) -> None:
-        """Print JSON on one line."""
+        """Print a value as JSON on one line."""
         self.line(msgspec.json.encode(content).decode())
 
     def print_failures(self, failures: list[str]) -> int:
-        """Print who can't be reached; returns the exit status."""
+        """Print the daemons that can't be reached and return the exit status."""
         for failure in failures:
             self.line_error(failure)
         return EXIT_UNREACHABLE if failures else 0
 
 
-class _RowsCommand(DaemonCommand):
-    """Shows a page of rows, each daemon's after the other's."""
+class _TableCommand(DaemonCommand):
+    """Shows a page of rows as one table for each daemon."""
 
     page = ""
 
     def query(self, pages: Pages) -> int:
-        """Read and show."""
-        read, failures = pages.read_all(self.page)
+        """Read the pages and show them."""
+        read_pages, failures = pages.read_all(self.page)
         if self.option("json"):
-            self.print_json({page.address: page.content for page in read})
+            self.print_json({page.address: page.content for page in read_pages})
         else:
-            self._show(read)
+            self._print_tables(read_pages)
         return self.print_failures(failures)
 
-    def _show(self, read: list[Page]) -> None:
-        for page in read:
-            if len(read) > 1:
+    def _print_tables(self, read_pages: list[Page]) -> None:
+        for page in read_pages:
+            if len(read_pages) > 1:
                 self.line(page.address)
             if not page.content:
                 self.line("none")
@@ -95,32 +95,32 @@
             self.render_table(headers, rows)
 
 
-class ZonesCommand(_RowsCommand):
-    """Shows availability zones."""
+class ZonesCommand(_TableCommand):
+    """Shows the availability zones."""
 
     name = "zones"
     description = "Shows each availability zone, its state and its work."
     page = "zones"
 
 
-class TargetsCommand(_RowsCommand):
-    """Shows targets."""
+class TargetsCommand(_TableCommand):
+    """Shows the targets."""
 
     name = "targets"
     description = "Shows each target as the daemon sees it: warm, cold, resting or out."
     page = "targets"
 
 
-class TeamsCommand(_RowsCommand):
-    """Shows teams."""
+class TeamsCommand(_TableCommand):
+    """Shows the teams."""
 
     name = "teams"
     description = "Shows each team with its share and priority."
     page = "teams"
 
 
-class CostsCommand(_RowsCommand):
-    """Shows costs."""
+class CostsCommand(_TableCommand):
+    """Shows the costs by team and stage."""
 
     name = "costs"
     description = "Shows calls, extra calls, tokens and seconds by team and stage."
@@ -128,7 +128,7 @@
 
 
 class StatusCommand(DaemonCommand):
-    """Shows daemons."""
+    """Shows the status of each daemon."""
 
     name = "status"
     description = (
@@ -148,18 +148,20 @@
     )
 
     def query(self, pages: Pages) -> int:
-        """Read and show."""
-        read, failures = pages.read_all("status")
+        """Read the pages and show them."""
+        read_pages, failures = pages.read_all("status")
         if self.option("json"):
-            self.print_json({page.address: page.content for page in read})
+            self.print_json({page.address: page.content for page in read_pages})
             return self.print_failures(failures)
-        rows = [[str(page.content[key]) for key in self._HEADERS] for page in read]
+        rows = [
+            [str(page.content[key]) for key in self._HEADERS] for page in read_pages
+        ]
         self.render_table(list(self._HEADERS), rows)
-        for page in read:
-            self._show_troubles(page.content)
+        for page in read_pages:
+            self._print_problems(page.content)
         return self.print_failures(failures)
 
-    def _show_troubles(self, status: dict[str, Any]) -> None:
+    def _print_problems(self, status: dict[str, Any]) -> None:
         name = status["instance"]
         for fault in status["refused"]:
             self.line(f"{name}: refused declaration: {fault}")
@@ -189,11 +191,11 @@
     description = "Prints the declaration in force at the first daemon that answers."
 
     def query(self, pages: Pages) -> int:
-        """Read and print."""
-        read, failures = pages.read_all("config")
-        if not read:
+        """Read the declaration and print it."""
+        read_pages, failures = pages.read_all("config")
+        if not read_pages:
             return self.print_failures(failures)
-        content = read[0].content
+        content = read_pages[0].content
         if self.option("json"):
             self.print_json(content)
         else:
@@ -219,29 +221,29 @@
     ]
 
     def handle(self) -> int:
-        """Read the logs if any are named, else ask the daemons."""
+        """Read the logs if any are given, else query the daemons."""
         if not self.option("log"):
             return super().handle()
         try:
-            story = read_request_lines(self.argument("request"), self.option("log"))
+            lines = read_request_lines(self.argument("request"), self.option("log"))
         except OSError as error:
             self.line_error(str(error))
             return EXIT_INVALID
         if self.option("json"):
-            self.print_json([line._asdict() for line in story])
-        elif story:
-            self._show_story(story)
-        if story:
+            self.print_json([line._asdict() for line in lines])
+        elif lines:
+            self._print_request_lines(lines)
+        if lines:
             return 0
         self.line_error("no line of these logs is about this request")
         return EXIT_NOT_FOUND
 
-    def _show_story(self, story: list[LogLine]) -> None:
-        width = max(len(line.instance) for line in story)
-        for line in story:
+    def _print_request_lines(self, lines: list[LogLine]) -> None:
+        width = max(len(line.instance) for line in lines)
+        for line in lines:
             head = f"{line.at[11:23]}  {line.instance:{width}}  {line.event}"
             self.line(f"<options=bold>{head}</>")
-            text = Formatter.escape(_show(line.details))
+            text = Formatter.escape(_format_details(line.details))
             indent = " " * _DETAILS_INDENT
             self.line(
                 textwrap.fill(
@@ -253,20 +255,20 @@
                 )
             )
         self.line("")
-        self.line(describe_cause(story))
+        self.line(describe_cause(lines))
 
     def query(self, pages: Pages) -> int:
-        """Find the daemons that know the request and show what they decided."""
-        read, failures = pages.read_all(f"explain/{self.argument('request')}")
-        known = [page for page in read if page.content]
+        """Show the decisions of each daemon that remembers the request."""
+        read_pages, failures = pages.read_all(f"explain/{self.argument('request')}")
+        matching = [page for page in read_pages if page.content]
         if self.option("json"):
-            self.print_json({page.address: page.content for page in known})
-        for page in [] if self.option("json") else known:
+            self.print_json({page.address: page.content for page in matching})
+        for page in [] if self.option("json") else matching:
             self.line(page.address)
-            began = page.content[0]["at"]
+            started_at = page.content[0]["at"]
             rows = [
                 [
-                    f"{(row['at'] - began) * 1000:.1f} ms",
+                    f"{(row['at'] - started_at) * 1000:.1f} ms",
                     row["subject"],
                     row["choice"],
                     row["reason"],
@@ -276,7 +278,7 @@
             ]
             headers = ["after", "decision", "choice", "reason", "candidates"]
             self.render_table(headers, rows)
-        if known:
+        if matching:
             return 0
         if failures:
             return self.print_failures(failures)
@@ -284,17 +286,17 @@
         return EXIT_NOT_FOUND
 
 
-def _show(details: dict[str, Any]) -> str:
-    """Show a line's details as words, a value each."""
+def _format_details(details: dict[str, Any]) -> str:
+    """Format the details of a line as ``key=value`` words."""
     return " ".join(
-        f"{key}={_count(value) if isinstance(value, list) else value}"
+        f"{key}={_format_runs(value) if isinstance(value, list) else value}"
         for key, value in details.items()
         if value != ""
     )
 
 
-def _count(values: list[Any]) -> str:
-    """Show a list, each run of the same value once with its length."""
+def _format_runs(values: list[Any]) -> str:
+    """Format a list; a run of equal values is shown once, with its length."""
     runs = [(value, len(list(group))) for value, group in groupby(values)]
     shown = [f"{value} x{count}" if count > 1 else str(value) for value, count in runs]
     return f"[{', '.join(shown)}]"
--- a/packages/cli/bergamotsaddle_cli/file_commands.py
+++ b/packages/cli/bergamotsaddle_cli/file_commands.py
@@ -1,4 +1,4 @@
-"""Commands that need only files: check, diff and digest."""
+"""Commands that work on files alone: check, diff and digest."""
 
 import sys
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 def read_declaration(path: Path) -> Declaration:
-    """Read and check a declaration.
+    """Read and validate a declaration.
 
     Raises:
         InvalidFileError: If it can't be read or has faults.
@@ -32,7 +32,7 @@
 
 
 class CheckCommand(Command):
-    """Checks a declaration."""
+    """Validates a declaration."""
 
     name = "check"
     description = "Checks a declaration and reports every fault at once."
@@ -40,12 +40,12 @@
     options = [_JSON]
 
     def handle(self) -> int:
-        """Check; returns 0 if valid, else 2."""
+        """Validate the file; return 0 if it is valid, else 2."""
         path = Path(self.argument("file"))
         try:
             declaration = read_declaration(path)
         except InvalidFileError as error:
-            return self._show_faults(error.faults)
+            return self._print_faults(error.faults)
         counts = {
             part: len(getattr(declaration, part))
             for part in ("zones", "teams", "targets", "pipelines")
@@ -54,15 +54,15 @@
             summary = {"valid": True, "revision": declaration.revision, **counts}
             self.line(msgspec.json.encode(summary).decode())
             return 0
-        listed = ", ".join(f"{count} {part}" for part, count in counts.items())
-        self.line(f"{path}: valid, revision {declaration.revision}, {listed}")
+        summary_text = ", ".join(f"{count} {part}" for part, count in counts.items())
+        self.line(f"{path}: valid, revision {declaration.revision}, {summary_text}")
         return 0
 
-    def _show_faults(self, faults: list[Fault]) -> int:
+    def _print_faults(self, faults: list[Fault]) -> int:
         if self.option("json"):
             rows = [fault._asdict() for fault in faults]
-            answer = {"valid": False, "faults": rows}
-            self.line(msgspec.json.encode(answer).decode())
+            result = {"valid": False, "faults": rows}
+            self.line(msgspec.json.encode(result).decode())
             return EXIT_INVALID
         for fault in faults:
             self.line_error(str(fault))
@@ -70,7 +70,7 @@
 
 
 class DiffCommand(Command):
-    """Tells what changes from one declaration to another."""
+    """Shows the differences between two declarations."""
 
     name = "diff"
     description = "Tells what changes from one declaration to another, and for whom."
@@ -78,7 +78,12 @@
     options = [_JSON]
 
     def handle(self) -> int:
-        """Compare; returns 0 if equal, 1 if different, 2 if one is invalid."""
+        """Compare the files.
+
+        Returns:
+            0 if they are equal, 1 if they differ, 2 if one is invalid or the new
+            revision isn't above the old one.
+        """
         try:
             old = read_declaration(Path(self.argument("old")))
             new = read_declaration(Path(self.argument("new")))
@@ -103,13 +108,13 @@
 
 
 class DigestCommand(Command):
-    """Digests a team's key."""
+    """Prints the digest of a team's key."""
 
     name = "digest"
     description = "Digests a team's key, read from standard input, for key_digests."
 
     def handle(self) -> int:
-        """Print the digest of the first line."""
+        """Print the digest of the first line of standard input."""
         key = sys.stdin.readline().rstrip("\n")
         if not key:
             self.line_error("expected the key on standard input")
--- a/packages/cli/bergamotsaddle_cli/log_command.py
+++ b/packages/cli/bergamotsaddle_cli/log_command.py
@@ -1,4 +1,4 @@
-"""What the commands that read daemons' logs have in common."""
+"""Base class of the commands that read daemons' logs."""
 
 from collections.abc import Iterator
 from typing import Any, ClassVar
@@ -19,12 +19,12 @@
 
 
 class LogsCommand(Command):
-    """A command over the logs of any number of daemons."""
+    """A command that reads the logs of any number of daemons."""
 
     options: ClassVar = [LOG, JSON]
 
     def handle(self) -> int:
-        """Read and show; returns 2 if a log is missing or can't be read."""
+        """Read the logs and show the result; return 2 if a log can't be read."""
         names = self.option("log")
         if not names:
             self.line_error("give --log PATH of each daemon, or --log -")
@@ -36,7 +36,7 @@
             return EXIT_INVALID
 
     def show(self, lines: Iterator[dict[str, Any]]) -> int:
-        """Show what the lines come to.
+        """Show the result for the lines.
 
         Args:
             lines: Decoded lines of all logs.
--- a/packages/cli/bergamotsaddle_cli/logs.py
+++ b/packages/cli/bergamotsaddle_cli/logs.py
@@ -1,4 +1,4 @@
-"""Joins the log lines of any number of daemons into the story of one request."""
+"""Collects the log lines about a request from the logs of any number of daemons."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -8,18 +8,21 @@
 import msgspec
 
 STDIN = "-"
-# Told apart from what explains a line: who wrote it, when, and what it is about.
-_FRAME = frozenset(("instance", "timestamp", "event", "level", "request", "requests"))
+# Fields that identify a line: its writer, its time and its subject. All other fields
+# are its details.
+_COMMON_FIELDS = frozenset(
+    ("instance", "timestamp", "event", "level", "request", "requests")
+)
 
 
 class LogLine(NamedTuple):
     """One line of a daemon's log.
 
     Attributes:
-        at: When it was written, by the clock of the daemon's instance.
-        instance: Who wrote it.
-        event: What happened.
-        details: The inputs and the outcome.
+        at: Time of writing, by the clock of the daemon's instance.
+        instance: Id of the instance that wrote it.
+        event: Name of the event.
+        details: Inputs and outcome of the event.
     """
 
     at: str
@@ -32,13 +35,13 @@
     """Read all lines about a request, in order of time.
 
     Args:
-        request: Its id.
+        request: Id of the request.
         names: Paths of logs; ``-`` for standard input.
 
     Raises:
         OSError: If a file can't be read.
     """
-    lines = [line for name in names for line in _lines(request, name)]
+    lines = [line for name in names for line in _read_log_of_request(request, name)]
     return sorted(lines, key=lambda line: line.at)
 
 
@@ -52,34 +55,34 @@
         OSError: If a file can't be read.
     """
     for name in names:
-        yield from _decoded(name, "")
+        yield from _decode_log(name, "")
 
 
-def _lines(request: str, name: str) -> Iterator[LogLine]:
-    for fields in _decoded(name, request):
+def _read_log_of_request(request: str, name: str) -> Iterator[LogLine]:
+    for fields in _decode_log(name, request):
         if _is_about(request, fields):
-            yield _line(fields)
+            yield _make_line(fields)
 
 
-def _decoded(name: str, word: str) -> Iterator[dict[str, Any]]:
-    """Yield the lines of a log that hold a word, decoded."""
+def _decode_log(name: str, substring: str) -> Iterator[dict[str, Any]]:
+    """Yield the decoded lines of a log that contain a substring."""
     if name == STDIN:
-        yield from _matching(word, sys.stdin)
+        yield from _decode_lines(substring, sys.stdin)
         return
     with Path(name).open(errors="replace") as file:
-        yield from _matching(word, file)
+        yield from _decode_lines(substring, file)
 
 
-def _matching(word: str, texts: Iterable[str]) -> Iterator[dict[str, Any]]:
-    for text in texts:
-        # Whoever collects the logs may have put a time and a name before each line.
-        begin = text.find("{")
-        if begin < 0 or word not in text:
+def _decode_lines(substring: str, lines: Iterable[str]) -> Iterator[dict[str, Any]]:
+    for line in lines:
+        # Log collectors may put a time and a name before each line.
+        start = line.find("{")
+        if start < 0 or substring not in line:
             continue
         try:
-            fields = msgspec.json.decode(text[begin:])
+            fields = msgspec.json.decode(line[start:])
         except msgspec.DecodeError:
-            # Not one of ours, such as a traceback that quotes an id.
+            # Not written by a daemon's logger, such as a traceback with a request id.
             continue
         if isinstance(fields, dict):
             yield fields
@@ -89,8 +92,8 @@
     return fields.get("request") == request or request in (fields.get("requests") or ())
 
 
-def _line(fields: dict[str, Any]) -> LogLine:
-    details = {key: value for key, value in fields.items() if key not in _FRAME}
+def _make_line(fields: dict[str, Any]) -> LogLine:
+    details = {key: value for key, value in fields.items() if key not in _COMMON_FIELDS}
     return LogLine(
         str(fields.get("timestamp", "")),
         str(fields.get("instance", "")),
--- a/packages/cli/bergamotsaddle_cli/pages.py
+++ b/packages/cli/bergamotsaddle_cli/pages.py
@@ -1,4 +1,4 @@
-"""Reads the operators' pages of daemons."""
+"""Client of the operators' pages of daemons."""
 
 from typing import Any, NamedTuple
 
@@ -8,21 +8,21 @@
 from bergamotsaddle_contracts.errors import BergamotsaddleError
 from bergamotsaddle_contracts.ini import parse_address
 
-_LIMIT = 3.0
+_TIMEOUT_S = 3.0
 _OK = 200
 _NOT_FOUND = 404
 
 
 class DaemonUnreachableError(BergamotsaddleError):
-    """A daemon that gave no usable answer."""
+    """A daemon that returned no usable response."""
 
 
 class Page(NamedTuple):
-    """One daemon's page.
+    """A page of one daemon.
 
     Attributes:
         address: Operators' address of the daemon.
-        content: The parsed JSON; None if the daemon has no such thing.
+        content: The decoded JSON; None if the daemon has no such page.
     """
 
     address: str
@@ -30,10 +30,10 @@
 
 
 class Pages:
-    """The pages of some daemons.
+    """The pages of one or more daemons.
 
     Args:
-        addresses: Their operators' addresses, as ``IP:port``.
+        addresses: Operators' addresses of the daemons, as ``IP:port``.
 
     Raises:
         ValueError: If an address is malformed.
@@ -44,21 +44,21 @@
         self._http = urllib3.PoolManager(retries=False)
 
     def read(self, address: str, path: str) -> Page:
-        """Read one page.
+        """Read a page of one daemon.
 
         Raises:
-            UnreachableError: If the daemon gives no usable answer.
+            DaemonUnreachableError: If the daemon returns no usable response.
         """
         url = f"http://{address}/{path}"
         try:
-            reply = self._http.request("GET", url, timeout=_LIMIT)
+            response = self._http.request("GET", url, timeout=_TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
             raise DaemonUnreachableError(f"{address}: {error}") from error
-        if reply.status == _NOT_FOUND:
+        if response.status == _NOT_FOUND:
             return Page(address, None)
-        if reply.status != _OK:
-            raise DaemonUnreachableError(f"{address}: status {reply.status}")
-        return Page(address, msgspec.json.decode(reply.data))
+        if response.status != _OK:
+            raise DaemonUnreachableError(f"{address}: status {response.status}")
+        return Page(address, msgspec.json.decode(response.data))
 
     def read_all(self, path: str) -> tuple[list[Page], list[str]]:
         """Read a page of every daemon.
--- a/packages/cli/bergamotsaddle_cli/review.py
+++ b/packages/cli/bergamotsaddle_cli/review.py
@@ -1,13 +1,13 @@
-"""What the logs of daemons say of forecasts, calls, refusals and waste."""
+"""Statistics of forecasts, calls, rejections and wasted work from daemons' logs."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
 from datetime import datetime
 from typing import Any, NamedTuple, TypedDict
 
-_WHOLE = "whole"
-# Expected times below this say little about a ratio.
-_LEAST_EXPECTED_S = 0.05
+_COMPLETE = "whole"
+# Ratios to shorter expected times say little.
+_MIN_EXPECTED_S = 0.05
 _SPAN_S = 10.0
 
 
@@ -20,15 +20,16 @@
 
 
 class CallStats(TypedDict):
-    """The calls of a stage service.
+    """Statistics of the calls to a stage service.
 
     Attributes:
         calls: Number of calls.
-        pieces: Mean pieces in a call.
-        while_waiting: Mean pieces in a call after which others were left waiting.
-        most: Pieces of the fullest call.
-        unmade: Pieces without a result, by reason.
-        away: Pieces done outside the zone that they belong to.
+        pieces: Mean number of pieces in a call.
+        while_waiting: Mean number of pieces in a call while other pieces stayed in the
+            queue.
+        most: Number of pieces in the largest call.
+        unmade: Number of failed pieces, by reason.
+        away: Number of pieces that ran outside their own zone.
     """
 
     calls: int
@@ -40,13 +41,13 @@
 
 
 class OutcomeCounts(TypedDict):
-    """How the requests of a route ended.
+    """Numbers of a route's requests by outcome.
 
     Attributes:
-        whole: Answered whole.
-        turned_away: Refused before any work for them.
-        lost: Ended without a whole answer after work had begun.
-        other: Ended otherwise, such as without a key.
+        whole: Requests with a complete response.
+        turned_away: Requests rejected before any work was done for them.
+        lost: Requests without a complete response although work had started.
+        other: Requests with another outcome, such as a missing key.
     """
 
     whole: int
@@ -56,15 +57,16 @@
 
 
 class TimeSpan(TypedDict):
-    """Ten seconds of requests by when they ended, and the daemons' usage in them.
+    """Requests that ended within a span of ten seconds, and the daemons' usage in it.
 
     Attributes:
-        begins: Seconds since the first line.
-        whole: Answered whole.
-        turned_away: Refused before any work for them.
-        lost: Ended without a whole answer after work had begun.
-        cpu: Mean processor time of the daemons that told it, as a part of a core.
-        delay: The longest time that a timer of any daemon fired late, in seconds.
+        begins: Start of the span in seconds since the first request's end.
+        whole: Requests with a complete response.
+        turned_away: Requests rejected before any work was done for them.
+        lost: Requests without a complete response although work had started.
+        cpu: Mean processor time of the daemons that reported it, as a fraction of a
+            core.
+        delay: Longest delay of a timer of any daemon, in seconds.
     """
 
     begins: float
@@ -76,17 +78,17 @@
 
 
 class Review(NamedTuple):
-    """All figures.
+    """All statistics of a review.
 
     Attributes:
-        first_event: First events against what was expected at admission.
-        engine: The engine's part of it.
-        by_stage: Stages against what was expected of them, by number.
-        calls_by_service: Calls of stage services.
-        ends_by_route: How requests ended.
-        spans: The same in steps of ten seconds.
-        lost_pieces: Results made for requests that ended without a whole answer.
-        binds: What cost most, in one sentence.
+        first_event: Times to the first event relative to the forecast at admission.
+        engine: The engine's share of these times relative to its forecast.
+        by_stage: Times of stages relative to their forecasts, by stage number.
+        calls_by_service: Statistics of calls by stage service.
+        ends_by_route: Numbers of requests by route and outcome.
+        spans: Numbers of requests by outcome in spans of ten seconds.
+        lost_pieces: Results made for requests without a complete response.
+        binds: The bottleneck in one sentence.
     """
 
     first_event: RatioQuantiles
@@ -103,10 +105,10 @@
 
 
 def review_logs(lines: Iterable[Line]) -> Review:
-    """Work out the figures from the lines of any number of daemons.
+    """Compute the statistics from the log lines of any number of daemons.
 
     Args:
-        lines: Decoded log lines; those without a request or call are passed over.
+        lines: Decoded log lines; lines about no request, call or usage are ignored.
     """
     by_event: dict[str, list[Line]] = defaultdict(list)
     for line in lines:
@@ -114,66 +116,68 @@
     turned_away = {line["request"] for line in by_event["turn_away"]}
     expected = {line["request"]: line["expected"] for line in by_event["admit"]}
     ends = by_event["request"]
-    kinds = {line["request"]: _kind(line, turned_away, expected) for line in ends}
-    calls = _calls(by_event["stage_call"])
+    kinds = {line["request"]: _classify(line, turned_away, expected) for line in ends}
+    calls = _calls_by_service(by_event["stage_call"])
     totals = Counter(kinds.values())
-    lost = _lost_pieces(by_event["stages_done"], kinds)
+    lost = _count_lost_pieces(by_event["stages_done"], kinds)
     return Review(
-        first_event=_spread(
+        first_event=_ratio_quantiles(
             (line["since"], expected[line["request"]])
             for line in by_event["first_event"]
             if line["request"] in expected
         ),
-        engine=_spread((e["seconds"], e["expected"]) for e in by_event["first_event"]),
-        by_stage=_by_stage(by_event["stages_done"]),
+        engine=_ratio_quantiles(
+            (e["seconds"], e["expected"]) for e in by_event["first_event"]
+        ),
+        by_stage=_quantiles_by_stage(by_event["stages_done"]),
         calls_by_service=calls,
-        ends_by_route=_ends(ends, kinds),
-        spans=_spans(ends, kinds, by_event["usage"]),
+        ends_by_route=_outcomes_by_route(ends, kinds),
+        spans=_time_spans(ends, kinds, by_event["usage"]),
         lost_pieces=lost,
-        binds=_binds(totals, calls),
+        binds=_describe_bottleneck(totals, calls),
     )
 
 
-def _kind(line: Line, turned_away: set[str], expected: dict[str, float]) -> str:
-    if line["outcome"] == _WHOLE:
-        return _WHOLE
+def _classify(line: Line, turned_away: set[str], expected: dict[str, float]) -> str:
+    if line["outcome"] == _COMPLETE:
+        return _COMPLETE
     if line["request"] in turned_away:
         return "turned_away"
     return "lost" if line["request"] in expected else "other"
 
 
-def _spread(pairs: Iterable[tuple[float, float]]) -> RatioQuantiles:
+def _ratio_quantiles(pairs: Iterable[tuple[float, float]]) -> RatioQuantiles:
     ratios = sorted(
-        actual / max(_LEAST_EXPECTED_S, expected) for actual, expected in pairs
+        actual / max(_MIN_EXPECTED_S, expected) for actual, expected in pairs
     )
     return RatioQuantiles(
         count=len(ratios), median=_quantile(ratios, 0.5), p90=_quantile(ratios, 0.9)
     )
 
 
-def _quantile(ordered: Sequence[float], part: float) -> float:
+def _quantile(ordered: Sequence[float], fraction: float) -> float:
     if not ordered:
         return 0.0
-    return round(ordered[min(len(ordered) - 1, int(part * len(ordered)))], 2)
+    return round(ordered[min(len(ordered) - 1, int(fraction * len(ordered)))], 2)
 
 
-def _by_stage(lines: Iterable[Line]) -> dict[str, RatioQuantiles]:
+def _quantiles_by_stage(lines: Iterable[Line]) -> dict[str, RatioQuantiles]:
     pairs: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for line in lines:
         count = len(line["stages"])
-        for place, (_, _, expected, actual) in enumerate(line["stages"], 1):
-            pairs[f"{place} of {count}"].append((actual, expected))
-    return {name: _spread(pairs[name]) for name in sorted(pairs)}
+        for index, (_, _, expected, actual) in enumerate(line["stages"], 1):
+            pairs[f"{index} of {count}"].append((actual, expected))
+    return {name: _ratio_quantiles(pairs[name]) for name in sorted(pairs)}
 
 
-def _calls(lines: Iterable[Line]) -> dict[str, CallStats]:
+def _calls_by_service(lines: Iterable[Line]) -> dict[str, CallStats]:
     by_service: dict[str, list[Line]] = defaultdict(list)
     for line in lines:
         by_service[line["service"]].append(line)
-    return {name: _calls_of(found) for name, found in sorted(by_service.items())}
+    return {name: _call_stats(found) for name, found in sorted(by_service.items())}
 
 
-def _calls_of(lines: list[Line]) -> CallStats:
+def _call_stats(lines: list[Line]) -> CallStats:
     busy = [line["pieces"] for line in lines if line["waiting"]]
     unmade = Counter(reason for line in lines for reason in line["unmade"])
     return CallStats(
@@ -186,45 +190,47 @@
     )
 
 
-def _ends(lines: Iterable[Line], kinds: dict[str, str]) -> dict[str, OutcomeCounts]:
+def _outcomes_by_route(
+    lines: Iterable[Line], kinds: dict[str, str]
+) -> dict[str, OutcomeCounts]:
     counts: dict[str, Counter[str]] = defaultdict(Counter)
     for line in lines:
         counts[line["route"] or "none"][kinds[line["request"]]] += 1
-    return {route: _as_ends(counts[route]) for route in sorted(counts)}
+    return {route: _outcome_counts(counts[route]) for route in sorted(counts)}
 
 
-def _as_ends(count: Counter[str]) -> OutcomeCounts:
+def _outcome_counts(count: Counter[str]) -> OutcomeCounts:
     return OutcomeCounts(
-        whole=count[_WHOLE],
+        whole=count[_COMPLETE],
         turned_away=count["turned_away"],
         lost=count["lost"],
         other=count["other"],
     )
 
 
-def _spans(
+def _time_spans(
     ends: Sequence[Line], kinds: dict[str, str], usages: Sequence[Line]
 ) -> list[TimeSpan]:
     if not ends:
         return []
-    first = min(map(_seconds, ends))
+    first = min(map(_unix_time, ends))
     counts: dict[int, Counter[str]] = defaultdict(Counter)
     for line in ends:
-        counts[_place(line, first)][kinds[line["request"]]] += 1
-    usages_by_place: dict[int, list[Line]] = defaultdict(list)
+        counts[_span_index(line, first)][kinds[line["request"]]] += 1
+    usages_by_index: dict[int, list[Line]] = defaultdict(list)
     for line in usages:
-        usages_by_place[_place(line, first)].append(line)
+        usages_by_index[_span_index(line, first)].append(line)
     return [
-        _span(place * _SPAN_S, counts[place], usages_by_place[place])
-        for place in sorted(counts)
+        _time_span(index * _SPAN_S, counts[index], usages_by_index[index])
+        for index in sorted(counts)
     ]
 
 
-def _span(begins: float, count: Counter[str], usages: Sequence[Line]) -> TimeSpan:
+def _time_span(begins: float, count: Counter[str], usages: Sequence[Line]) -> TimeSpan:
     cpu = sum(line["cpu"] for line in usages) / max(1, len(usages))
     return TimeSpan(
         begins=begins,
-        whole=count[_WHOLE],
+        whole=count[_COMPLETE],
         turned_away=count["turned_away"],
         lost=count["lost"],
         cpu=round(cpu, 4),
@@ -232,38 +238,40 @@
     )
 
 
-def _place(line: Line, first: float) -> int:
-    return int((_seconds(line) - first) // _SPAN_S)
+def _span_index(line: Line, first: float) -> int:
+    return int((_unix_time(line) - first) // _SPAN_S)
 
 
-def _seconds(line: Line) -> float:
+def _unix_time(line: Line) -> float:
     return datetime.fromisoformat(line["timestamp"]).timestamp()
 
 
-def _lost_pieces(lines: Iterable[Line], kinds: dict[str, str]) -> int:
-    ended_badly = [line for line in lines if kinds.get(line["request"]) == "lost"]
-    return sum(len(line["stages"]) for line in ended_badly)
+def _count_lost_pieces(lines: Iterable[Line], kinds: dict[str, str]) -> int:
+    lost_lines = [line for line in lines if kinds.get(line["request"]) == "lost"]
+    return sum(len(line["stages"]) for line in lost_lines)
 
 
-def _binds(totals: Counter[str], calls: dict[str, CallStats]) -> str:
-    served = totals[_WHOLE]
-    if not served and not sum(totals.values()):
+def _describe_bottleneck(totals: Counter[str], calls: dict[str, CallStats]) -> str:
+    complete = totals[_COMPLETE]
+    if not complete and not sum(totals.values()):
         return "No request ended in these logs."
     if not totals["turned_away"] and not totals["lost"]:
         return "Nothing bound: no request was turned away or lost."
     if totals["lost"] > totals["turned_away"]:
         return f"Most was lost after work had begun: {totals['lost']} requests."
-    begin = f"Most was turned away before any work: {totals['turned_away']} requests"
-    scarce = _scarcest(calls)
-    if scarce is None:
-        return f"{begin}; no stage service had pieces waiting."
-    found = calls[scarce]
+    prefix = f"Most was turned away before any work: {totals['turned_away']} requests"
+    scarcest = _find_scarcest_service(calls)
+    if scarcest is None:
+        return f"{prefix}; no stage service had pieces waiting."
+    found = calls[scarcest]
     fill = f"{found['while_waiting']} of {found['most']} pieces a call"
-    return f"{begin}; {scarce} was the scarcest stage, with {fill} while others waited."
+    return (
+        f"{prefix}; {scarcest} was the scarcest stage, with {fill} while others waited."
+    )
 
 
-def _scarcest(calls: dict[str, CallStats]) -> str | None:
-    """The service whose calls went out emptiest while pieces waited."""
+def _find_scarcest_service(calls: dict[str, CallStats]) -> str | None:
+    """Return the service with the least filled calls while pieces waited."""
     waiting = {n: c for n, c in calls.items() if c["while_waiting"]}
     return min(
         waiting,
--- a/packages/cli/bergamotsaddle_cli/review_command.py
+++ b/packages/cli/bergamotsaddle_cli/review_command.py
@@ -12,13 +12,13 @@
 
 
 class ReviewCommand(LogsCommand):
-    """Shows how well daemons decided, from their logs."""
+    """Shows from daemons' logs how well the daemons decided."""
 
     name = "review"
     description = "Review forecasts, calls, refusals and waste from daemons' logs."
 
     def show(self, lines: Iterator[dict[str, Any]]) -> int:
-        """Review; returns 0, 1 if the logs say nothing."""
+        """Show the statistics; return 0, or 1 if the logs hold no request's end."""
         found = review_logs(lines)
         if not found.ends_by_route:
             self.line_error("no request ended in these logs")
@@ -26,15 +26,15 @@
         if self.option("json"):
             self.line(msgspec.json.encode(found._asdict()).decode())
         else:
-            self._show(found)
+            self._print_review(found)
         return 0
 
-    def _show(self, found: Review) -> None:
+    def _print_review(self, found: Review) -> None:
         self.line("actual against expected     count  median   p90")
-        self._show_spread("first event", found.first_event)
-        self._show_spread("engine's part", found.engine)
-        for name, spread in found.by_stage.items():
-            self._show_spread(f"stage {name}", spread)
+        self._print_quantiles("first event", found.first_event)
+        self._print_quantiles("engine's part", found.engine)
+        for name, quantiles in found.by_stage.items():
+            self._print_quantiles(f"stage {name}", quantiles)
         self.line("")
         self.line("stage service     calls  pieces  while waiting  most  away  unmade")
         for name, calls in found.calls_by_service.items():
@@ -46,10 +46,10 @@
             )
         self.line("")
         self.line("route            whole  turned away  lost  other")
-        for route, ends in found.ends_by_route.items():
+        for route, counts in found.ends_by_route.items():
             self.line(
-                f"{route:16} {ends['whole']:5} {ends['turned_away']:12}"
-                f" {ends['lost']:5} {ends['other']:6}"
+                f"{route:16} {counts['whole']:5} {counts['turned_away']:12}"
+                f" {counts['lost']:5} {counts['other']:6}"
             )
         self.line("")
         self.line("from second      whole  turned away  lost  cores   late s")
@@ -62,7 +62,8 @@
         self.line(f"stages done for requests that were lost: {found.lost_pieces}")
         self.line(found.binds)
 
-    def _show_spread(self, name: str, spread: RatioQuantiles) -> None:
+    def _print_quantiles(self, name: str, quantiles: RatioQuantiles) -> None:
         self.line(
-            f"{name:26} {spread['count']:6} {spread['median']:7} {spread['p90']:5}"
+            f"{name:26} {quantiles['count']:6} {quantiles['median']:7}"
+            f" {quantiles['p90']:5}"
         )
--- a/packages/cli/bergamotsaddle_cli/send_command.py
+++ b/packages/cli/bergamotsaddle_cli/send_command.py
@@ -1,4 +1,4 @@
-"""The command that sends one request as a caller would."""
+"""The command that sends one request as a caller does."""
 
 import os
 
@@ -12,7 +12,7 @@
 EXIT_INVALID = 2
 EXIT_UNREACHABLE = 3
 KEY_VARIABLE = "BERGAMOTSADDLE_KEY"
-_LIMIT = 60.0
+_TIMEOUT_S = 60.0
 
 
 class SendCommand(Command):
@@ -31,7 +31,12 @@
     ]
 
     def handle(self) -> int:
-        """Send; returns 0 for an answer, 1 for a refusal, 3 without either."""
+        """Send the request and print the response.
+
+        Returns:
+            0 for a successful response, 1 for an error response, 2 for an invalid
+            address, 3 if there is no response.
+        """
         try:
             address = parse_address(self.option("to") or "")
         except ValueError as error:
@@ -47,11 +52,11 @@
         body = self.argument("body").encode()
         http = urllib3.PoolManager(retries=False)
         try:
-            reply = http.request(
-                "POST", url, body=body, headers=headers, timeout=_LIMIT
+            response = http.request(
+                "POST", url, body=body, headers=headers, timeout=_TIMEOUT_S
             )
         except urllib3.exceptions.HTTPError as error:
             self.line_error(str(error))
             return EXIT_UNREACHABLE
-        self.line(reply.data.decode(errors="replace"))
-        return 0 if reply.status < 400 else EXIT_REFUSED
+        self.line(response.data.decode(errors="replace"))
+        return 0 if response.status < 400 else EXIT_REFUSED
--- a/packages/cli/bergamotsaddle_cli/suspects.py
+++ b/packages/cli/bergamotsaddle_cli/suspects.py
@@ -1,4 +1,4 @@
-"""The requests under which targets ended, from daemons' logs."""
+"""Finds requests during which targets crashed, from daemons' logs."""
 
 from collections.abc import Iterable, Iterator
 from typing import Any
@@ -9,15 +9,15 @@
 
 
 class Suspect(msgspec.Struct):
-    """A request under which targets ended.
+    """A request during which targets crashed.
 
     Attributes:
-        work: Its fingerprint.
-        route: Its route, empty if no request's end was logged.
-        team: Its team, empty if unknown.
-        targets: Targets that ended under it, in order of time.
-        state: ``suspected``, ``held back`` or ``cleared``.
-        refused: Tries that were refused because it was held back.
+        work: Fingerprint of the request.
+        route: Route of the request, empty if the logs hold no end of it.
+        team: Team of the request, empty if unknown.
+        targets: Targets that crashed during the request, in order of time.
+        state: ``suspected``, ``held back`` (quarantined) or ``cleared``.
+        refused: Number of attempts that were refused because it was quarantined.
     """
 
     work: str
@@ -29,28 +29,32 @@
 
 
 def find_suspects(lines: Iterable[dict[str, Any]]) -> list[Suspect]:
-    """Find the requests under which targets ended.
+    """Find the requests during which targets crashed.
 
     Args:
         lines: Decoded lines of daemons' logs, in any order.
 
     Returns:
-        The requests, those that were refused most often first.
+        The requests, ordered by the number of refused attempts, highest first.
     """
-    by_work: dict[str, Suspect] = {}
-    ordered = sorted(lines, key=lambda line: str(line.get("timestamp", "")))
-    for line in ordered:
+    by_fingerprint: dict[str, Suspect] = {}
+    lines_by_time = sorted(lines, key=lambda line: str(line.get("timestamp", "")))
+    for line in lines_by_time:
         if line.get("event") == "target_ended":
-            work = str(line.get("work"))
-            _note_end(by_work.setdefault(work, Suspect(work)), line)
-    for line in ordered:
-        suspect = by_work.get(str(line.get("work")))
+            fingerprint = str(line.get("work"))
+            _record_crash(
+                by_fingerprint.setdefault(fingerprint, Suspect(fingerprint)), line
+            )
+    for line in lines_by_time:
+        suspect = by_fingerprint.get(str(line.get("work")))
         if suspect is not None:
-            _note_line(suspect, line)
-    return sorted(by_work.values(), key=lambda s: (-s.refused, -len(s.targets), s.work))
+            _update_suspect(suspect, line)
+    return sorted(
+        by_fingerprint.values(), key=lambda s: (-s.refused, -len(s.targets), s.work)
+    )
 
 
-def _note_end(suspect: Suspect, line: dict[str, Any]) -> None:
+def _record_crash(suspect: Suspect, line: dict[str, Any]) -> None:
     target = str(line.get("target"))
     if target not in suspect.targets:
         suspect.targets.append(target)
@@ -58,7 +62,7 @@
         suspect.state = "held back"
 
 
-def _note_line(suspect: Suspect, line: dict[str, Any]) -> None:
+def _update_suspect(suspect: Suspect, line: dict[str, Any]) -> None:
     if line.get("event") == "suspect_cleared":
         suspect.state = "cleared"
     elif line.get("event") == "request":
@@ -68,7 +72,7 @@
 
 
 class SuspectsCommand(LogsCommand):
-    """Lists what is held back and why."""
+    """Lists suspected and quarantined requests with the crashes under them."""
 
     name = "suspects"
     description = "List requests under which targets ended, from daemons' logs."
--- a/packages/contracts/bergamotsaddle_contracts/__init__.py
+++ b/packages/contracts/bergamotsaddle_contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations, messages and error kinds that daemon, command line and tests share."""
+"""Declarations, messages and error kinds shared by daemon, command line and tests."""
--- a/packages/contracts/bergamotsaddle_contracts/declaration.py
+++ b/packages/contracts/bergamotsaddle_contracts/declaration.py
@@ -1,4 +1,4 @@
-"""What operators declare: pipelines, teams, availability zones and targets."""
+"""Declarations by operators: pipelines, teams, availability zones and targets."""
 
 import hashlib
 from typing import NamedTuple
@@ -29,7 +29,7 @@
     Attributes:
         name: Name of the team.
         share: Weight among teams when capacity is short.
-        priority: 1 is served before 9 where shares allow.
+        priority: Rank of the team's requests; 1 is served before 9 where shares allow.
         key_digests: BLAKE2b digests (hexadecimal) of the team's keys.
     """
 
@@ -40,22 +40,22 @@
 
 
 class DeclaredTarget(NamedTuple):
-    """A target as operators declare it.
+    """A target as declared by operators.
 
     Attributes:
         id: Name of the target.
-        address: Where it listens.
+        address: Address that it listens on.
         zone: Its availability zone.
-        kind: The stage or service it serves.
-        models: Models it may hold; empty for services.
-        holds: How many of them it holds at once.
-        limit: Calls it bears at once when warm.
-        cold_limit: Calls it bears at once in cold start.
+        kind: Stage or service that it serves.
+        models: Models that it may hold; empty for services.
+        holds: Number of models that it holds at once.
+        limit: Maximum number of concurrent calls when warm.
+        cold_limit: Maximum number of concurrent calls in cold start.
         repeatable: Whether a call may be sent again after a failure.
-        idempotency_key: Whether it honours an idempotency key.
-        fencing: Whether it refuses orders with an old fencing number.
+        idempotency_key: Whether it supports an idempotency key.
+        fencing: Whether it refuses orders with an outdated fencing number.
         resumes: Whether its streams can be resumed at a token.
-        not_run_statuses: HTTP statuses by which it promises that nothing ran.
+        not_run_statuses: HTTP statuses that guarantee that nothing ran.
     """
 
     id: str
@@ -74,7 +74,7 @@
 
 
 class Model(NamedTuple):
-    """A model; ``copies`` targets of each zone should hold it, where they can."""
+    """A model that ``copies`` targets of each zone should hold, if they can."""
 
     name: str
     copies: int
@@ -85,10 +85,10 @@
 
     Attributes:
         name: Name of the pipeline.
-        stages: Kinds of target called one after the other.
-        deadline: Seconds that a request has unless its caller says less.
+        stages: Kinds of target that are called one after the other.
+        deadline: Seconds that a request may take unless its caller sets less.
         model: Model of the generate stage, or an empty string.
-        priority: Added to the team's priority towards engines.
+        priority: Number added to the team's priority in requests to engines.
     """
 
     name: str
@@ -99,19 +99,20 @@
 
 
 class Declaration(NamedTuple):
-    """One whole declaration.
+    """A complete declaration.
 
     Attributes:
         name: Name of the deployment.
-        revision: Chosen by operators; the higher one wins everywhere.
-        digest: BLAKE2b digest of the text, which settles equal revisions.
-        text: The file as applied.
+        revision: Number chosen by operators; the highest one takes effect everywhere.
+        digest: BLAKE2b digest of the text, which decides between equal revisions.
+        text: Text of the file as applied.
         zones: Availability zones by name.
         teams: Teams by name.
         targets: Targets by id.
         models: Models whose copies are declared, by name.
         pipelines: Pipelines by name.
-        sections: Text of each section, by which a later file is read faster.
+        sections: Text of each section, so that a later file with the same sections is
+            parsed faster.
     """
 
     name: str
@@ -127,11 +128,11 @@
 
     @property
     def version(self) -> tuple[int, str]:
-        """The pair by which declarations are ordered."""
+        """Revision and digest, by which declarations are ordered."""
         return (self.revision, self.digest)
 
     def is_repeatable(self, kind: str) -> bool:
-        """Tell whether calls to a kind of target may be repeated."""
+        """Return whether calls to a kind of target may be repeated."""
         return all(t.repeatable for t in self.targets.values() if t.kind == kind)
 
 
@@ -139,10 +140,10 @@
 
 
 def digest_text(text: str) -> str:
-    """Digest a declaration's text to 32 hexadecimal digits."""
+    """Return the digest of a declaration's text as 32 hexadecimal digits."""
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def digest_key(key: str) -> str:
-    """Digest a team's key as it is declared, to 64 hexadecimal digits."""
+    """Return the digest of a team's key, as declared, as 64 hexadecimal digits."""
     return hashlib.blake2b(key.encode(), digest_size=KEY_DIGEST_BYTES).hexdigest()
--- a/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
+++ b/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
@@ -1,4 +1,4 @@
-"""Reads and checks declarations, whole or against the one before."""
+"""Parses and validates declarations, in full or relative to a previous one."""
 
 import re
 from collections.abc import Callable
@@ -34,27 +34,27 @@
     parse_yes_no,
 )
 
-_HEADER = re.compile(r"^\[(.+)\][ \t]*$", re.MULTILINE)
-_TITLE = "declaration"
+_SECTION_HEADER = re.compile(r"^\[(.+)\][ \t]*$", re.MULTILINE)
+_MAIN_SECTION = "declaration"
 
-Reader = Callable[[IniFile, str, str], Any]
+SectionReader = Callable[[IniFile, str, str], Any]
 
 
-class _Kind(NamedTuple):
-    """A kind of section: the part of the declaration it fills and its reader."""
+class _SectionKind(NamedTuple):
+    """A kind of section: the field of the declaration that it fills and its reader."""
 
     part: str
-    read: Reader
+    read: SectionReader
 
 
-_KIND_BY_NAME: dict[str, _Kind] = {}
+_SECTION_KINDS: dict[str, _SectionKind] = {}
 
 
-def _read(kind: str, part: str) -> Callable[[Reader], Reader]:
-    """Make a decorator that adds the reader of a kind of section."""
+def _section_reader(kind: str, part: str) -> Callable[[SectionReader], SectionReader]:
+    """Return a decorator that registers the reader of a kind of section."""
 
-    def add(reader: Reader) -> Reader:
-        _KIND_BY_NAME[kind] = _Kind(part, reader)
+    def add(reader: SectionReader) -> SectionReader:
+        _SECTION_KINDS[kind] = _SectionKind(part, reader)
         return reader
 
     return add
@@ -63,38 +63,38 @@
 def parse_declaration(
     text: str, *, name: str = "declaration", previous: Declaration | None = None
 ) -> Declaration:
-    """Read and check one whole declaration.
+    """Parse and validate a complete declaration.
 
     Args:
         text: The INI text.
-        name: Name of the file for messages.
-        previous: An earlier declaration; sections that are the same to the letter are
-            taken from it, which at 4,700 targets is many times faster.
+        name: Name of the file for error messages.
+        previous: An earlier declaration. Sections with identical text are taken from
+            it, which is many times faster with 4,700 targets.
 
     Raises:
-        InvalidFileError: With every fault of the file.
+        InvalidFileError: If the file has faults; it holds all of them.
     """
     sections = _split_sections(text)
     if previous is not None and sections:
         unchanged = {
             section
             for section, body in sections.items()
-            if section != _TITLE and previous.sections.get(section) == body
+            if section != _MAIN_SECTION and previous.sections.get(section) == body
         }
         changed = "".join(b for s, b in sections.items() if s not in unchanged)
         try:
             ini = IniFile(changed, name=name)
             return _read_sections(ini, text, sections, unchanged, previous)
         except InvalidFileError:
-            # Reading the whole file gives every fault with its right line.
+            # Parsing the complete file reports every fault with its correct line.
             pass
     ini = IniFile(text, name=name)
     return _read_sections(ini, text, sections, set(), None)
 
 
 def _split_sections(text: str) -> dict[str, str]:
-    """Split a text by its section headers; empty if it can't be done safely."""
-    headers = list(_HEADER.finditer(text))
+    """Split a text at its section headers; empty if there are none or one repeats."""
+    headers = list(_SECTION_HEADER.finditer(text))
     names = [header.group(1) for header in headers]
     if not headers or len(set(names)) < len(names):
         return {}
@@ -112,27 +112,27 @@
     unchanged: set[str],
     previous: Declaration | None,
 ) -> Declaration:
-    parts: dict[str, dict[str, Any]] = {k.part: {} for k in _KIND_BY_NAME.values()}
-    title = ini.get(_TITLE, "name", str, "") or ""
-    revision = ini.get(_TITLE, "revision", parse_count) or 0
+    parts: dict[str, dict[str, Any]] = {k.part: {} for k in _SECTION_KINDS.values()}
+    deployment = ini.get(_MAIN_SECTION, "name", str, "") or ""
+    revision = ini.get(_MAIN_SECTION, "revision", parse_count) or 0
     for section in filter(unchanged.__contains__, sections):
         kind, _, label = section.partition(" ")
-        part = _KIND_BY_NAME[kind].part
+        part = _SECTION_KINDS[kind].part
         parts[part][label] = getattr(previous, part)[label]
     for section in ini.sections:
         kind, _, label = section.partition(" ")
-        known = _KIND_BY_NAME.get(kind)
-        if known is not None and label:
-            parts[known.part][label] = known.read(ini, section, label)
-        elif section != _TITLE:
-            kinds = "|".join(_KIND_BY_NAME)
+        section_kind = _SECTION_KINDS.get(kind)
+        if section_kind is not None and label:
+            parts[section_kind.part][label] = section_kind.read(ini, section, label)
+        elif section != _MAIN_SECTION:
+            kinds = "|".join(_SECTION_KINDS)
             ini.add_fault(section, "", "", f"expected [{kinds} NAME]")
     _check_references(ini, parts["zones"], parts["targets"], parts["pipelines"])
     _check_models(ini, parts["targets"], parts["models"])
     _check_keys(ini, parts["teams"])
     ini.raise_for_faults()
     return Declaration(
-        name=title,
+        name=deployment,
         revision=revision,
         digest=digest_text(text),
         text=text,
@@ -141,12 +141,12 @@
     )
 
 
-@_read("zone", "zones")
+@_section_reader("zone", "zones")
 def _read_zone(ini: IniFile, section: str, label: str) -> Zone:
     return Zone(label, ini.get(section, "state", one_of(ZONE_STATES), "in") or "in")
 
 
-@_read("team", "teams")
+@_section_reader("team", "teams")
 def _read_team(ini: IniFile, section: str, label: str) -> Team:
     return Team(
         label,
@@ -166,7 +166,7 @@
     return digests
 
 
-@_read("target", "targets")
+@_section_reader("target", "targets")
 def _read_target(ini: IniFile, section: str, label: str) -> DeclaredTarget:
     models = ini.get(section, "models", parse_words, ()) or ()
     return DeclaredTarget(
@@ -186,13 +186,13 @@
     )
 
 
-@_read("model", "models")
+@_section_reader("model", "models")
 def _read_model(ini: IniFile, section: str, label: str) -> Model:
     copies = ini.get(section, "copies", parse_count, DEFAULT_COPIES)
     return Model(label, copies or DEFAULT_COPIES)
 
 
-@_read("pipeline", "pipelines")
+@_section_reader("pipeline", "pipelines")
 def _read_pipeline(ini: IniFile, section: str, label: str) -> Pipeline:
     return Pipeline(
         label,
--- a/packages/contracts/bergamotsaddle_contracts/diff.py
+++ b/packages/contracts/bergamotsaddle_contracts/diff.py
@@ -1,4 +1,4 @@
-"""Tells what one declaration changes against another, and for whom."""
+"""Lists the differences between two declarations."""
 
 from typing import NamedTuple
 
@@ -11,8 +11,9 @@
     """One difference between two declarations.
 
     Attributes:
-        part: ``zone``, ``team``, ``target``, ``model`` or ``pipeline``.
-        name: Name of the changed thing.
+        part: Kind of the entry: ``zone``, ``team``, ``target``, ``model`` or
+            ``pipeline``.
+        name: Name of the entry.
         what: ``added``, ``removed``, or ``KEY: OLD -> NEW``.
     """
 
@@ -22,28 +23,30 @@
 
 
 def diff_declarations(old: Declaration, new: Declaration) -> list[Change]:
-    """List every difference, ordered by part and name."""
+    """List every difference between two declarations, ordered by part and name."""
     changes: list[Change] = []
     for part in _PARTS:
         before, after = getattr(old, part), getattr(new, part)
         for name in sorted(before.keys() | after.keys()):
-            changes += _diff_one(part[:-1], name, before.get(name), after.get(name))
+            changes += _diff_entry(part[:-1], name, before.get(name), after.get(name))
     return changes
 
 
-def _diff_one(part: str, name: str, old: tuple | None, new: tuple | None) -> list:
+def _diff_entry(part: str, name: str, old: tuple | None, new: tuple | None) -> list:
     if old is None:
         return [Change(part, name, "added")]
     if new is None:
         return [Change(part, name, "removed")]
     return [
-        Change(part, name, f"{field}: {_show(before)} -> {_show(after)}")
+        Change(
+            part, name, f"{field}: {_format_value(before)} -> {_format_value(after)}"
+        )
         for field, before, after in zip(old._fields, old, new, strict=True)
         if before != after
     ]
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, tuple) and not hasattr(value, "_fields"):
         return ", ".join(str(item) for item in value) or "none"
     return str(value)
--- a/packages/contracts/bergamotsaddle_contracts/errors.py
+++ b/packages/contracts/bergamotsaddle_contracts/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the exceptions that carry them."""
+"""The complete list of error kinds and the exceptions that carry them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a request can end without its answer."""
+    """Every reason for which a request can fail."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -38,12 +38,12 @@
 
 
 class ErrorSpec(NamedTuple):
-    """What a caller is told for one error kind.
+    """The response that a caller gets for one error kind.
 
     Attributes:
         status: HTTP status.
-        ran: What holds unless the raiser knows better.
-        retry_after: Seconds after which asking again makes sense, or None for never.
+        ran: Whether the request ran; ``RequestError`` may override it.
+        retry_after: Seconds after which a retry makes sense, or None for never.
     """
 
     status: int
@@ -76,17 +76,17 @@
 
 
 class BergamotsaddleError(Exception):
-    """Base of every error that this system raises."""
+    """Base class of every error that this system raises."""
 
 
 class RequestError(BergamotsaddleError):
-    """A request that ends without its answer.
+    """A request that failed.
 
     Args:
         kind: The error kind, which decides the HTTP status.
         detail: One sentence for the caller.
-        ran: Overrides what the table says about the kind.
-        retry_after: Overrides the table's seconds.
+        ran: Overrides the value that ``ERROR_SPECS`` has for the kind.
+        retry_after: Overrides the seconds that ``ERROR_SPECS`` has for the kind.
     """
 
     def __init__(
@@ -98,21 +98,21 @@
         retry_after: float | None = None,
     ) -> None:
         super().__init__(detail)
-        answer = ERROR_SPECS[kind]
+        spec = ERROR_SPECS[kind]
         self.kind = kind
         self.detail = detail
-        self.status = answer.status
-        self.ran = answer.ran if ran is None else ran
-        self.retry_after = answer.retry_after if retry_after is None else retry_after
+        self.status = spec.status
+        self.ran = spec.ran if ran is None else ran
+        self.retry_after = spec.retry_after if retry_after is None else retry_after
 
 
 class TargetError(BergamotsaddleError):
-    """A call to a target that gave no usable answer.
+    """A call to a target that returned no usable response.
 
     Args:
         detail: What went wrong.
         sent: Whether a byte of the call may have reached the target.
-        timed_out: Whether it ran out of time, rather than being told of an error.
+        timed_out: Whether the call timed out, rather than failing with an error.
     """
 
     def __init__(self, detail: str, *, sent: bool, timed_out: bool = False) -> None:
@@ -122,26 +122,26 @@
 
 
 class PlaceLostError(BergamotsaddleError):
-    """A place at a target that stopped being good before the call was sent."""
+    """A place at a target that became invalid before the call was sent."""
 
 
 class PeerUnreachableError(BergamotsaddleError):
-    """A call to another instance that got no answer."""
+    """A call to another instance that got no response."""
 
 
 class PlatformUnreachableError(BergamotsaddleError):
-    """A read of the platform that got no usable answer."""
+    """A read from the platform that got no usable response."""
 
 
 class Fault(NamedTuple):
-    """One thing wrong in an operator's file.
+    """One fault in an operator's file.
 
     Attributes:
-        file: Name of the file as given.
+        file: Name of the file as the operator gave it.
         section: Section of the file, or an empty string.
         key: Key of the section, or an empty string.
-        value: The value found.
-        reason: What is wrong with it and what is expected.
+        value: The value in the file.
+        reason: Why the value is invalid and what is expected.
     """
 
     file: str
@@ -151,10 +151,10 @@
     reason: str
 
     def __str__(self) -> str:
-        place = f"{self.file}: [{self.section}]"
+        location = f"{self.file}: [{self.section}]"
         if self.key:
-            place += f" {self.key} = {self.value}"
-        return f"{place}: {self.reason}"
+            location += f" {self.key} = {self.value}"
+        return f"{location}: {self.reason}"
 
 
 class InvalidFileError(BergamotsaddleError):
--- a/packages/contracts/bergamotsaddle_contracts/ini.py
+++ b/packages/contracts/bergamotsaddle_contracts/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI files and collects every fault of a file before giving up."""
+"""Reads INI files and reports all faults of a file at once."""
 
 import configparser
 import ipaddress
@@ -16,7 +16,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -26,10 +26,10 @@
 
 
 def parse_duration(text: str) -> float:
-    """Turn ``250ms``, ``4s``, ``2m`` or ``1h`` into seconds.
+    """Parse a duration such as ``250ms``, ``4s``, ``2m`` or ``1h`` into seconds.
 
     Raises:
-        ValueError: If the text has no number or no unit.
+        ValueError: If the text lacks a number or a unit.
     """
     match = _DURATION.fullmatch(text.strip())
     if match is None:
@@ -38,10 +38,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Turn ``127.0.0.1:8080`` into an address; names are not looked up.
+    """Parse an address such as ``127.0.0.1:8080``; host names are not resolved.
 
     Raises:
-        ValueError: If the host is no IP number or the port is out of range.
+        ValueError: If the host isn't an IP address or the port is out of range.
     """
     host, separator, port = text.strip().rpartition(":")
     if not separator:
@@ -56,27 +56,27 @@
 
 
 def parse_yes_no(text: str) -> bool:
-    """Turn ``yes`` or ``no`` into a truth value.
+    """Parse ``yes`` or ``no`` into a boolean.
 
     Raises:
         ValueError: If the text is neither.
     """
-    words = {"yes": True, "no": False}
-    if text.strip() not in words:
+    choices = {"yes": True, "no": False}
+    if text.strip() not in choices:
         raise ValueError("expected yes or no")
-    return words[text.strip()]
+    return choices[text.strip()]
 
 
 def parse_words(text: str) -> tuple[str, ...]:
-    """Split a comma-separated list, leaving out empty entries."""
+    """Split a comma-separated list and drop empty entries."""
     return tuple(word.strip() for word in text.split(",") if word.strip())
 
 
 def parse_count(text: str) -> int:
-    """Turn digits into a number of at least 1.
+    """Parse a whole number of at least 1.
 
     Raises:
-        ValueError: If the text is no whole number of at least 1.
+        ValueError: If the text isn't a whole number of at least 1.
     """
     if not text.strip().isdigit() or int(text) < 1:
         raise ValueError("expected a whole number of at least 1")
@@ -84,44 +84,44 @@
 
 
 def parse_counts(text: str) -> tuple[int, ...]:
-    """Split a comma-separated list of whole numbers of at least 1."""
+    """Parse a comma-separated list of whole numbers of at least 1."""
     return tuple(parse_count(word) for word in parse_words(text))
 
 
-def one_of(words: Collection[str]) -> Callable[[str], str]:
-    """Make a parser that takes only the given words."""
+def one_of(choices: Collection[str]) -> Callable[[str], str]:
+    """Return a parser that accepts only the given choices."""
 
     def parse(text: str) -> str:
-        if text.strip() not in words:
-            raise ValueError(f"expected one of {', '.join(sorted(words))}")
+        if text.strip() not in choices:
+            raise ValueError(f"expected one of {', '.join(sorted(choices))}")
         return text.strip()
 
     return parse
 
 
 class IniFile:
-    """An INI text whose faults are collected while it is read.
+    """A parsed INI text that collects its faults while values are read.
 
     Args:
-        text: The whole text.
-        name: Name of the file for messages.
+        text: The complete text.
+        name: Name of the file for error messages.
     """
 
     def __init__(self, text: str, *, name: str) -> None:
         self.name = name
         self.faults: list[Fault] = []
         parser = self._parse(text)
-        # Asking the parser for one value at a time takes longer than parsing.
+        # Getting single values from the parser takes longer than parsing the text.
         self._sections = {name: dict(parser.items(name)) for name in parser.sections()}
-        self._read: dict[str, set[str]] = {}
+        self._read_keys: dict[str, set[str]] = {}
 
     @property
     def sections(self) -> list[str]:
-        """Names of the sections in the order of the file."""
+        """Names of the sections, in the order of the file."""
         return list(self._sections)
 
     def add_fault(self, section: str, key: str, value: str, reason: str) -> None:
-        """Note one fault."""
+        """Record a fault."""
         self.faults.append(Fault(self.name, section, key, value, reason))
 
     def get(
@@ -131,18 +131,18 @@
         parse: Callable[[str], Value],
         default: Value | None = None,
     ) -> Value | None:
-        """Read one value; a missing or malformed one is noted as a fault.
+        """Read a value; record a fault if it is missing or malformed.
 
         Args:
             section: Section of the key.
             key: The key.
             parse: Turns the text into a value or raises ValueError with the reason.
-            default: Used where the key is absent; None makes the key mandatory.
+            default: Value of an absent key; None makes the key mandatory.
 
         Returns:
-            The value, or the default where the value is absent or malformed.
+            The value, or the default if the value is absent or malformed.
         """
-        self._read.setdefault(section, set()).add(key)
+        self._read_keys.setdefault(section, set()).add(key)
         text = self._sections.get(section, {}).get(key)
         if text is None:
             if default is None:
@@ -155,12 +155,12 @@
             return default
 
     def raise_for_faults(self) -> None:
-        """Note keys that nobody read, then raise if there is any fault.
+        """Record a fault for each key that was not read, then raise if there are any.
 
         Raises:
-            InvalidFileError: With every fault found.
+            InvalidFileError: If the file has faults; it holds all of them.
         """
-        for section, keys in self._read.items():
+        for section, keys in self._read_keys.items():
             for key, value in self._sections.get(section, {}).items():
                 if key not in keys:
                     self.add_fault(section, key, value, "unknown key")
@@ -168,7 +168,7 @@
             raise InvalidFileError(self.faults)
 
     def _parse(self, text: str) -> configparser.ConfigParser:
-        """Parse the text; what is no INI at all is noted and left out."""
+        """Parse the text; record faults for lines that aren't INI and skip them."""
         strict = configparser.ConfigParser(interpolation=None)
         try:
             strict.read_string(text)
--- a/packages/contracts/bergamotsaddle_contracts/instances.py
+++ b/packages/contracts/bergamotsaddle_contracts/instances.py
@@ -10,14 +10,14 @@
 
 
 class Instance(NamedTuple):
-    """One line of the list.
+    """One instance or target in the platform's list.
 
     Attributes:
-        id: Name of the instance; a target's id for a target.
+        id: Name of the instance, or the id of the target.
         zone: Its availability zone.
         role: ``entry`` or ``target``.
         state: ``live`` or ``leaving``.
-        peer_address: ``IP:port`` towards other entry instances; empty for targets.
+        peer_address: ``IP:port`` for other entry instances; empty for targets.
     """
 
     id: str
@@ -28,10 +28,10 @@
 
 
 class InstanceList(NamedTuple):
-    """The whole list at one version, as the platform published it.
+    """The complete list at one version, as published by the platform.
 
     Attributes:
-        version: Grows with every change.
+        version: Number that grows with every change.
         by_id: The instances by id.
     """
 
@@ -39,11 +39,11 @@
     by_id: dict[str, Instance]
 
     def entries(self) -> list[Instance]:
-        """All entry instances, ordered by id."""
+        """Return all entry instances, ordered by id."""
         return sorted(i for i in self.by_id.values() if i.role == ENTRY_ROLE)
 
     def is_leaving(self, instance_id: str) -> bool:
-        """Tell whether the list says that an instance is leaving."""
+        """Return whether an instance is listed as leaving."""
         instance = self.by_id.get(instance_id)
         return instance is not None and instance.state == LEAVING
 
@@ -57,10 +57,10 @@
 
 
 def parse_instances(payload: bytes) -> InstanceList:
-    """Read the JSON that the platform publishes.
+    """Decode the JSON list that the platform publishes.
 
     Raises:
-        ValueError: If the payload is no such list.
+        ValueError: If the payload isn't a valid instance list.
     """
     try:
         published = msgspec.json.decode(payload, type=_PublishedList)
@@ -80,6 +80,6 @@
 
 
 def encode_instances(instances: InstanceList) -> bytes:
-    """Write a list as the platform publishes it."""
+    """Encode a list in the format that the platform publishes."""
     rows = [instance._asdict() for instance in instances.by_id.values()]
     return msgspec.json.encode({"version": instances.version, "instances": rows})
--- a/packages/contracts/bergamotsaddle_contracts/messages.py
+++ b/packages/contracts/bergamotsaddle_contracts/messages.py
@@ -12,14 +12,14 @@
 
 
 class TargetReport(NamedTuple):
-    """What a target said about its load.
+    """A target's report of its load.
 
     Attributes:
         target_id: The target.
         cold: Whether it is in cold start.
-        in_flight: Calls it was working on.
-        age: Seconds since it measured, at the time of sending.
-        models: Models it has loaded; None if it holds all that it may.
+        in_flight: Number of calls in progress.
+        age: Seconds between the measurement and the sending of the report.
+        models: Models that it has loaded; None if it holds all that it may.
     """
 
     target_id: str
@@ -30,22 +30,22 @@
 
 
 class Heartbeat(NamedTuple):
-    """A datagram that an instance sends to its neighbours.
+    """Datagram that an instance sends to its neighbours.
 
     Attributes:
         sender: Id of the sending instance.
         incarnation: Random name of the sending process.
         clock: Seconds on the sender's clock.
-        echo: The latest clock heard from the receiver, on the receiver's clock.
-        echo_incarnation: The receiver's process that the echo came from.
-        asked_age: Seconds since the sender last asked the platform and had its answer
-            or found that there was none.
+        echo: Latest clock value received from the receiver, on the receiver's clock.
+        echo_incarnation: Incarnation of the receiver that sent the echoed value.
+        platform_query_age: Seconds since the sender last queried the platform and
+            received its response or found that there was none.
         revision: Revision of the declaration in force at the sender.
         digest: Digest of that declaration.
         list_version: Version of the sender's instance list.
-        stopping: Whether the sender has begun a planned stop.
-        follows: Whether the sender uses targets that the receiver is home to.
-        reports: Reports of the targets that the sender is home to, if the receiver
+        stopping: Whether the sender has started a planned stop.
+        follows: Whether the sender uses targets whose home is the receiver.
+        reports: Reports of the targets whose home is the sender, if the receiver
             uses them.
     """
 
@@ -71,7 +71,7 @@
         team: Team of the caller.
         kind: Kind of target.
         path: Path below the service, without a leading slash.
-        body: Body as received.
+        body: Body as received from the caller.
         remaining: Seconds until the deadline at the time of sending.
     """
 
@@ -84,15 +84,15 @@
 
 
 class Outcome(NamedTuple):
-    """How a ticketed request ended.
+    """Result of a request that was sent with a ticket.
 
     Attributes:
         state: ``finished``, ``not_run`` for good, ``unknown``, ``reused`` if the
             ticket was used with another request, ``unused`` or ``busy`` if it may
-            still be used, or ``elsewhere`` if the asked instance can't tell.
-        status: HTTP status of the target's answer when finished.
-        body: The target's answer when finished.
-        detail: One sentence for the caller otherwise.
+            still be used, or ``elsewhere`` if the queried instance doesn't know.
+        status: HTTP status of the target's response when finished.
+        body: Body of the target's response when finished.
+        detail: One sentence for the caller in all other states.
     """
 
     state: str
@@ -111,19 +111,19 @@
 
 
 class StartRecord(NamedTuple):
-    """Asks the witness to remember that a ticket's request is about to be sent."""
+    """Asks the witness to record that a ticket's request is about to be sent."""
 
     ticket: Ticket
 
 
 class StartAnswer(NamedTuple):
-    """Whether the witness remembered the start."""
+    """Whether the witness recorded the start."""
 
     recorded: bool
 
 
 class OutcomeRecord(NamedTuple):
-    """Tells the witness how a ticket's request ended."""
+    """Reports to the witness how a ticket's request ended."""
 
     ticket: Ticket
     outcome: Outcome
@@ -136,25 +136,25 @@
 
 
 class OutcomeQuery(NamedTuple):
-    """Asks issuer or witness what became of a ticket, without changing it."""
+    """Asks the issuer or the witness for a ticket's outcome, without changing it."""
 
     ticket: Ticket
 
 
 class RunTicket(NamedTuple):
-    """Asks a ticket's issuer, or who took over from it, to run its request."""
+    """Asks a ticket's issuer, or the instance that replaced it, to run its request."""
 
     ticket: Ticket
     request: ServiceRequest
 
 
 class TicketHandover(NamedTuple):
-    """Tells the witness that the issuer will start no ticket any more.
+    """Reports to the witness that the issuer will start no more tickets.
 
     Attributes:
-        incarnation: The issuer's process.
-        used: Tickets that were refused or may have been started; the others are
-            the witness's to run.
+        incarnation: Random name of the issuer's process.
+        used: Tickets that were refused or may have been started; the witness may
+            run all others.
     """
 
     incarnation: str
@@ -162,7 +162,7 @@
 
 
 class PermitQuery(NamedTuple):
-    """Asks a target's home for one call's place at a cold target."""
+    """Asks a target's home for a permit for one call to the cold target."""
 
     target_id: str
     holder: str
@@ -170,25 +170,25 @@
 
 
 class PermitAnswer(NamedTuple):
-    """A permit's number, or zero and a reason."""
+    """A permit's number, or zero and the reason for the refusal."""
 
     permit: int
     reason: str
 
 
 class PermitReturn(NamedTuple):
-    """Gives a permit back once the target has answered."""
+    """Returns a permit after the target has responded."""
 
     target_id: str
     permit: int
 
 
 class PermitHandover(NamedTuple):
-    """Tells the next home of a target what the stopping home has given out.
+    """Reports a stopping home's outstanding permits to the target's next home.
 
     Attributes:
         target_id: The target.
-        permits: Remaining seconds of each permit still out.
+        permits: Remaining seconds of each outstanding permit.
     """
 
     target_id: str
@@ -196,7 +196,7 @@
 
 
 class DeclarationQuery(NamedTuple):
-    """Asks a peer for the declaration that is in force there."""
+    """Asks a peer for the declaration that is in force at the peer."""
 
     revision: int
 
@@ -234,15 +234,15 @@
 
 
 def encode(message: Any) -> bytes:
-    """Write a message."""
+    """Encode a message."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(payload: bytes, kind: type) -> Any:
-    """Read a message of a given type.
+    """Decode a message of a given type.
 
     Raises:
-        ValueError: If the payload is no such message.
+        ValueError: If the payload isn't a message of that type.
     """
     try:
         return msgspec.msgpack.decode(payload, type=kind)
@@ -251,16 +251,16 @@
 
 
 def sign(message: Any, key: bytes) -> bytes:
-    """Write a message that only holders of the key can make."""
+    """Encode a message and prepend a MAC, which only holders of the key can make."""
     body = encode(message)
     return _mac(body, key) + body
 
 
 def verify_signed(payload: bytes, kind: type, key: bytes) -> Any:
-    """Read a message of a given type and check who made it.
+    """Verify the MAC of a message and decode it as a given type.
 
     Raises:
-        ValueError: If it is malformed or made with another key.
+        ValueError: If the message is malformed or its MAC was made with another key.
     """
     mac, body = payload[:_MAC_BYTES], payload[_MAC_BYTES:]
     if not hmac.compare_digest(mac, _mac(body, key)):
--- a/packages/contracts/bergamotsaddle_contracts/ticket.py
+++ b/packages/contracts/bergamotsaddle_contracts/ticket.py
@@ -1,4 +1,4 @@
-"""Tickets: one permission to run one unrepeatable request once."""
+"""Tickets, each of which allows one unrepeatable request to run once."""
 
 import base64
 import binascii
@@ -17,18 +17,18 @@
 
 
 class Ticket(NamedTuple):
-    """What a ticket says; the issuer's process alone may run its request.
+    """Contents of a ticket; only the issuing process may run its request.
 
     Attributes:
         issuer: Id of the issuing instance.
         incarnation: Random name of the issuing process.
         nonce: Random name of this ticket.
-        team: Team that asked for it.
-        kind: Kind of target it is for.
-        issued_at: Seconds on the issuer's clock when it was issued.
-        witness: Id of the instance that remembers the start, or an empty string.
+        team: Team that requested it.
+        kind: Kind of target that it is valid for.
+        issued_at: Time of issue in seconds on the issuer's clock.
+        witness: Id of the instance that records the start, or an empty string.
         witness_incarnation: Random name of the witness's process.
-        witness_mark: Seconds on the witness's clock, not after the issue.
+        witness_clock: Seconds on the witness's clock, no later than the time of issue.
     """
 
     issuer: str
@@ -43,21 +43,21 @@
 
 
 def make_nonce() -> str:
-    """Make a random name for a ticket or a process."""
+    """Return a random name for a ticket or a process."""
     return secrets.token_urlsafe(_NONCE_BYTES)
 
 
 def sign_ticket(ticket: Ticket, key: bytes) -> str:
-    """Write a ticket as text that only holders of the key can make."""
+    """Encode a ticket as text with a MAC, which only holders of the key can make."""
     body = msgspec.msgpack.encode(ticket)
     return base64.urlsafe_b64encode(body + _mac(body, key)).decode().rstrip("=")
 
 
 def verify_ticket(text: str, key: bytes) -> Ticket:
-    """Read a ticket's text and check who made it.
+    """Verify the MAC of a ticket's text and decode the ticket.
 
     Raises:
-        RequestError: If the text is malformed or made with another key.
+        RequestError: If the text is malformed or its MAC was made with another key.
     """
     try:
         raw = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
