--- a/packages/cli/bergamotsaddle_cli/cause.py
+++ b/packages/cli/bergamotsaddle_cli/cause.py
@@ -62,7 +62,7 @@
         times[f"engine {first['target']}"] = (first["seconds"], first["expected"])
     if not times:
         return ""
-    name = max(times, key=lambda part: times[part][0] - times[part][1])
+    name = max(times, key=lambda step: times[step][0] - times[step][1])
     actual, expected = times[name]
     if actual - expected < _SLOW_S:
         return ""
--- a/packages/cli/bergamotsaddle_cli/review.py
+++ b/packages/cli/bergamotsaddle_cli/review.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple, TypedDict
 
 _COMPLETE = "whole"
-# Ratios to shorter expected times say little.
+# Shorter expected times are raised to this; ratios to them say little.
 _MIN_EXPECTED_S = 0.05
 _SPAN_S = 10.0
 
@@ -25,8 +25,7 @@
     Attributes:
         calls: Number of calls.
         pieces: Mean number of pieces in a call.
-        while_waiting: Mean number of pieces in a call while other pieces stayed in the
-            queue.
+        while_waiting: Mean number of pieces in calls that left other pieces waiting.
         most: Number of pieces in the largest call.
         unmade: Number of failed pieces, by reason.
         away: Number of pieces that ran outside their own zone.
--- a/packages/cli/bergamotsaddle_cli/suspects.py
+++ b/packages/cli/bergamotsaddle_cli/suspects.py
@@ -35,7 +35,8 @@
         lines: Decoded lines of daemons' logs, in any order.
 
     Returns:
-        The requests, ordered by the number of refused attempts, highest first.
+        The requests, ordered by the numbers of refused attempts and of crashed targets,
+        highest first.
     """
     by_fingerprint: dict[str, Suspect] = {}
     lines_by_time = sorted(lines, key=lambda line: str(line.get("timestamp", "")))
@@ -72,7 +73,7 @@
 
 
 class SuspectsCommand(LogsCommand):
-    """Lists suspected and quarantined requests with the crashes under them."""
+    """Lists the requests during which targets crashed, and their state."""
 
     name = "suspects"
     description = "List requests under which targets ended, from daemons' logs."
--- a/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
+++ b/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
@@ -217,8 +217,8 @@
         if target.cold_limit > target.limit:
             value = str(target.cold_limit)
             ini.add_fault(section, "cold_limit", value, f"above limit = {target.limit}")
-        agreed = repeatable_by_kind.setdefault(target.kind, target.repeatable)
-        if agreed != target.repeatable:
+        expected = repeatable_by_kind.setdefault(target.kind, target.repeatable)
+        if expected != target.repeatable:
             value = "yes" if target.repeatable else "no"
             reason = f"differs from the other targets of kind {target.kind}"
             ini.add_fault(section, "repeatable", value, reason)
