--- a/packages/standins/bergamotsaddle_standins/meeting.py
+++ b/packages/standins/bergamotsaddle_standins/meeting.py
@@ -52,7 +52,7 @@
     advance(_START_S)
     passed = 0.0
     agreed = None
-    while fleet.least_known() < size - 1:
+    while fleet.min_known_peers() < size - 1:
         if passed >= _LIMIT_S:
             raise RuntimeError(f"{size} instances have not met within {_LIMIT_S:.0f} s")
         advance(_STEP_S)
--- a/packages/standins/bergamotsaddle_standins/peer_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/peer_fleet.py
@@ -28,7 +28,7 @@
 # Sockets are bound, since peers make them, and not used.
 _ANY_PORT = 0
 # A logger that writes nothing.
-SILENT = structlog.wrap_logger(
+SILENT_LOGGER = structlog.wrap_logger(
     structlog.ReturnLogger(), wrapper_class=structlog.BoundLogger, processors=[]
 )
 
@@ -47,8 +47,10 @@
         bytes_sent: Size of all datagrams so far.
     """
 
-    def __init__(self, settings: ServingSettings, life: str, carry: Carry) -> None:
-        super().__init__(settings, life, SILENT)
+    def __init__(
+        self, settings: ServingSettings, incarnation: str, carry: Carry
+    ) -> None:
+        super().__init__(settings, incarnation, SILENT_LOGGER)
         self._carry = carry
         self.bytes_sent = 0
 
@@ -57,7 +59,7 @@
         self.bytes_sent += len(data)
         self._carry(self, address[0], data)
 
-    def arrive(self, data: bytes, host: str) -> None:
+    def deliver(self, data: bytes, host: str) -> None:
         """Take a datagram."""
         self._handle_datagram(data, (host, _ANY_PORT))
 
@@ -70,8 +72,8 @@
         settle: Seconds after its start from which an instance takes work.
     """
 
-    def __init__(self, size: int, *, settle: float = 0.0) -> None:
-        self._settle = settle
+    def __init__(self, size: int, *, accept_delay: float = 0.0) -> None:
+        self._accept_delay = accept_delay
         self._cut: set[str] = set()
         self._started: set[str] = set()
         hosts = [_host(number) for number in range(size)]
@@ -92,7 +94,7 @@
             delay = within * number / len(self.peers_by_host)
             eventlet.spawn_after(delay, self._run, peers)
 
-    def cut_off(self, zone: str) -> None:
+    def partition_zone(self, zone: str) -> None:
         """Have no datagram cross the border of a zone."""
         self._cut.add(zone)
 
@@ -110,13 +112,13 @@
         """Who owns the region's queue of a service, as all instances see it."""
         return {rank_owners(peers, service, REGION)[0] for peers in self}
 
-    def least_known(self) -> int:
+    def min_known_peers(self) -> int:
         """Peers that the instance which knows fewest has heard."""
         return min(len(peers.alive()) for peers in self)
 
     def _run(self, peers: WiredPeers) -> None:
         self._started.add(peers.own.host)
-        eventlet.spawn_after(self._settle, _take_work, peers)
+        eventlet.spawn_after(self._accept_delay, _take_work, peers)
         peers.run()
 
     def _carry(self, sender: WiredPeers, host: str, data: bytes) -> None:
@@ -127,7 +129,7 @@
         zones = {sender.own.zone, receiver.own.zone}
         if len(zones) > 1 and zones & self._cut:
             return
-        eventlet.spawn_after(TRIP_S, receiver.arrive, data, sender.own.host)
+        eventlet.spawn_after(TRIP_S, receiver.deliver, data, sender.own.host)
 
 
 def _take_work(peers: Peers) -> None:
--- a/packages/standins/bergamotsaddle_standins/virtual_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_fleet.py
@@ -37,7 +37,7 @@
 from bergamotsaddle_serving.target_rates import TargetRates
 from bergamotsaddle_serving.view import View
 from bergamotsaddle_standins.peer_fleet import (
-    SILENT,
+    SILENT_LOGGER,
     ZONES,
     PeerFleet,
     WiredPeers,
@@ -83,7 +83,7 @@
         self._requests = [request]
         self.status = 0
         self.headers: RawHeaders = []
-        self.is_whole = False
+        self.is_complete = False
         self.must_close = False
         self.has_started = False
 
@@ -111,7 +111,7 @@
 
     def finish(self) -> None:
         """Take its end."""
-        self.is_whole = True
+        self.is_complete = True
 
     def prepare_next(self) -> bool:
         """Ask for nothing more."""
@@ -137,27 +137,31 @@
         self, peers: WiredPeers, targets: VirtualTargets, dialect: VirtualDialect
     ) -> None:
         self.peers = peers
-        self.view = View(dialect, SILENT)
+        self.view = View(dialect, SILENT_LOGGER)
         self.view.has_snapshot = True
         gossip = Gossip()
         tell = GossipExchange(gossip, peers).publish
-        self.limits = NamedLimits(gossip, tell, SILENT)
+        self.limits = NamedLimits(gossip, tell, SILENT_LOGGER)
         self.health = Health(self.limits.record)
         peers.own_running = self.health.running
         pool = VirtualPool(targets, peers.own.id)
         budget = RetryBudget(_BOUNDS, peers.size)
         reach = SimpleNamespace(is_lost=lambda zone: False)
         owner = RateOwner(peers.reachable_fraction)
-        rates = TargetRates(self.limits, RateExchange(peers, owner), SILENT)
+        rates = TargetRates(self.limits, RateExchange(peers, owner), SILENT_LOGGER)
         cold = ColdRateLimiter(peers.size)
         selector = Selector(self.view, self.health, peers, cold, reach, rates)
-        self.suspects = Suspects(gossip, tell, self.view.software_versions, SILENT)
+        self.suspects = Suspects(
+            gossip, tell, self.view.software_versions, SILENT_LOGGER
+        )
         crashes = TargetCrashes(pool, self.view, self.suspects)
-        plain = PlainServer(selector, pool, budget, dialect, SILENT, crashes=crashes)
+        plain = PlainServer(
+            selector, pool, budget, dialect, SILENT_LOGGER, crashes=crashes
+        )
         # Its routes have no stages.
         waits = SimpleNamespace(best_scope=None)
         streams = StreamServer(
-            selector, waits, None, pool, budget, dialect, SILENT, crashes=crashes
+            selector, waits, None, pool, budget, dialect, SILENT_LOGGER, crashes=crashes
         )
         self.handler = Handler(
             self.view,
@@ -166,7 +170,7 @@
             budget,
             dialect,
             Metrics(),
-            SILENT,
+            SILENT_LOGGER,
             suspects=self.suspects,
         )
 
@@ -180,14 +184,14 @@
         back_after: Seconds after its end from which an engine is there again.
     """
 
-    def __init__(self, size: int, *, targets: int, back_after: float = 3.0) -> None:
+    def __init__(self, size: int, *, targets: int, restart_after: float = 3.0) -> None:
         self._dialect = VirtualDialect()
         self._revisions = count(1)
         self._entries: list[StoreEntry] = []
         self._ids = count(1)
         self.instances: list[VirtualInstance] = []
         self.targets = VirtualTargets(
-            targets, ZONES, back_after=back_after, publish=self._publish
+            targets, ZONES, restart_after=restart_after, publish=self._publish
         )
         service = Service(SERVICE, 1_000, engine_slots=64)
         configuration = Configuration(1, [_ROUTE], [service], [], CallerLimits())
@@ -203,7 +207,9 @@
         """Start all instances."""
         self.peers.start(within=0.3)
 
-    def ask(self, number: int, path: bytes, body: bytes = b"") -> VirtualCaller:
+    def send_request(
+        self, number: int, path: bytes, body: bytes = b""
+    ) -> VirtualCaller:
         """Send a request to an instance.
 
         Returns:
--- a/packages/standins/bergamotsaddle_standins/virtual_targets.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_targets.py
@@ -39,7 +39,7 @@
 class Arrival(NamedTuple):
     """A request that reached a target."""
 
-    moment: float
+    at: float
     instance: str
     path: bytes
 
@@ -59,7 +59,7 @@
     def __init__(self, number: int, zone: str) -> None:
         self.address = Address(f"10.9.0.{number}", _PORT)
         self.zone = zone
-        self.life = 1
+        self.incarnation = 1
         self.is_up = True
         self.limit: float | None = None
         self.arrivals: list[Arrival] = []
@@ -69,7 +69,7 @@
     @property
     def id(self) -> str:
         """Its name in this life."""
-        return f"t{self._number}-{self.life}"
+        return f"t{self._number}-{self.incarnation}"
 
     def entry(self) -> Target:
         """What it registers."""
@@ -142,7 +142,7 @@
         self._target.arrivals.append(arrival)
         if self._headers[b"target"].decode() == self._target.id:
             self._target.runs.add(self)
-            self._targets.begin(self._target, call.path)
+            self._targets.start_request(self._target, call.path)
         return 0
 
     def read_head(self, *, limit: float) -> RawResponseHead:
@@ -169,7 +169,7 @@
         """Give no body, as a refusal has none."""
         return b""
 
-    def break_off(self) -> None:
+    def disconnect(self) -> None:
         """End it from the target's side."""
         if not self._broken.ready():
             self._broken.send()
@@ -238,12 +238,12 @@
         count: int,
         zones: tuple[str, ...],
         *,
-        back_after: float,
+        restart_after: float,
         publish: Callable[[str, Target | None], None],
     ) -> None:
         self.fatal_paths: set[bytes] = set()
-        self.ended = 0
-        self._back_after = back_after
+        self.crash_count = 0
+        self._restart_after = restart_after
         self._publish = publish
         targets = [VirtualTarget(n, zones[n % len(zones)]) for n in range(count)]
         self.by_address = {target.address: target for target in targets}
@@ -253,24 +253,24 @@
     def __iter__(self):
         return iter(self.by_address.values())
 
-    def begin(self, target: VirtualTarget, path: bytes) -> None:
+    def start_request(self, target: VirtualTarget, path: bytes) -> None:
         """Begin to run a request, under which the target may end."""
         if path in self.fatal_paths:
-            eventlet.spawn_after(_FATAL_S, self.end, target, target.life)
+            eventlet.spawn_after(_FATAL_S, self.crash, target, target.incarnation)
 
-    def end(self, target: VirtualTarget, life: int) -> None:
+    def crash(self, target: VirtualTarget, incarnation: int) -> None:
         """End a life of a target with all that it runs."""
-        if not target.is_up or target.life != life:
+        if not target.is_up or target.incarnation != incarnation:
             return
-        self.ended += 1
+        self.crash_count += 1
         target.is_up = False
         for connection in list(target.runs):
-            connection.break_off()
+            connection.disconnect()
         target.runs.clear()
         eventlet.spawn_after(_LAPSE_S, self._publish, target.id, None)
-        eventlet.spawn_after(self._back_after, self._start, target)
+        eventlet.spawn_after(self._restart_after, self._start, target)
 
     def _start(self, target: VirtualTarget) -> None:
-        target.life += 1
+        target.incarnation += 1
         target.is_up = True
         self._publish(target.id, target.entry())
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -27,8 +27,8 @@
         for arrival in target.arrivals
         if arrival.path == FATAL
     )
-    known_at = arrivals[2].moment + SPREAD_S if len(arrivals) > 2 else float("inf")
-    return [arrival for arrival in arrivals if arrival.moment > known_at]
+    known_at = arrivals[2].at + SPREAD_S if len(arrivals) > 2 else float("inf")
+    return [arrival for arrival in arrivals if arrival.at > known_at]
 
 
 class FatalRequestTest(unittest.TestCase):
@@ -47,10 +47,10 @@
         fleet.start()
         advance(2.0)
         for _ in range(TRIES):
-            fleet.ask(random.randrange(size), FATAL, b"body")
+            fleet.send_request(random.randrange(size), FATAL, b"body")
             advance(1.0)
         self.assertLessEqual(len(late_tries(fleet)), MOST_LATE_TRIES)
-        self.assertLessEqual(fleet.targets.ended, 3)
+        self.assertLessEqual(fleet.targets.crash_count, 3)
 
     def test_many_callers_at_once_and_those_beside_them(self):
         """Guards against innocent requests that are held back with a fatal one."""
@@ -62,11 +62,11 @@
         for step in range(60):
             if step % 5 == 0:
                 for _ in range(3):
-                    fleet.ask(random.randrange(7), FATAL, b"body")
+                    fleet.send_request(random.randrange(7), FATAL, b"body")
             for number in range(8):
                 # Half of them are one popular question, the others each their own.
                 path = b"/popular" if number % 2 else b"/own/%d/%d" % (step, number)
-                others.append(fleet.ask(random.randrange(7), path, b"body"))
+                others.append(fleet.send_request(random.randrange(7), path, b"body"))
             advance(0.2)
         advance(8.0)
         self.assertLessEqual(len(late_tries(fleet)), MOST_LATE_TRIES)
@@ -77,17 +77,17 @@
 
     def test_ordinary_ends_hold_nothing_back(self):
         """Guards against suspicion where targets end by themselves."""
-        fleet = VirtualFleet(7, targets=TARGETS, back_after=1.0)
+        fleet = VirtualFleet(7, targets=TARGETS, restart_after=1.0)
         fleet.start()
         advance(2.0)
         targets = list(fleet.targets)
         for step in range(100):
             for number in range(4):
                 path = b"/popular" if number % 2 else b"/own/%d/%d" % (step, number)
-                fleet.ask(random.randrange(7), path, b"body")
+                fleet.send_request(random.randrange(7), path, b"body")
             if step % 4 == 0:
                 target = random.choice(targets)
-                fleet.targets.end(target, target.life)
+                fleet.targets.crash(target, target.incarnation)
             advance(0.1)
         advance(8.0)
         held = {work for i in fleet.instances for work in i.suspects.quarantined()}
@@ -107,7 +107,7 @@
 
         with mock.patch.object(streams._StreamRun, "_run_stages", run_stages):
             for number in range(4):
-                fleet.ask(number, FATAL, b"body")
+                fleet.send_request(number, FATAL, b"body")
                 advance(1.0)
-        self.assertEqual(fleet.targets.ended, 3)
+        self.assertEqual(fleet.targets.crash_count, 3)
         self.assertNotIn(True, were_held)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -143,7 +143,7 @@
     def test_a_zone_that_was_cut_off_learns_what_it_missed(self):
         self.start(8)
         advance(2.0)
-        self.fleet.cut_off("a")
+        self.fleet.partition_zone("a")
         self.observe(1, "outside")
         self.observe(0, "inside")
         advance(5.0)
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -51,7 +51,7 @@
         for step in range(round(seconds / STEP_S)):
             if random.random() < rate * STEP_S:
                 number = random.randrange(len(self.fleet.instances))
-                callers.append(self.fleet.ask(number, b"/%d" % step, b"body"))
+                callers.append(self.fleet.send_request(number, b"/%d" % step, b"body"))
             advance(STEP_S)
         return callers
 
@@ -66,7 +66,7 @@
     def bounded(self, target):
         """Arrivals at a target from when all instances must keep to its limit."""
         since = self.named_at + STABLE_S
-        return [a.moment for a in target.arrivals if a.moment >= since]
+        return [a.at for a in target.arrivals if a.at >= since]
 
     def assert_within_limit(self, target):
         allowed = BURST_FACTOR * target.limit * WINDOW_S + SLACK
@@ -102,7 +102,7 @@
 
     @parameterized.expand(
         [
-            ("cut", lambda fleet, owner: fleet.peers.cut_off(owner.own.zone)),
+            ("cut", lambda fleet, owner: fleet.peers.partition_zone(owner.own.zone)),
             ("killed", lambda fleet, owner: fleet.peers.kill(owner.own.id)),
             ("stopped", lambda fleet, owner: setattr(owner, "accepts_work", False)),
         ]
@@ -129,7 +129,7 @@
         home.limit = None
         ended_at = now()
         self.ask(6.0, 6.0)
-        after = [a.moment for a in home.arrivals if a.moment > ended_at + STABLE_S]
+        after = [a.at for a in home.arrivals if a.at > ended_at + STABLE_S]
         self.assertGreater(len(after), 6)
         self.assertLessEqual(most_in_a_window(after), 6.0 * WINDOW_S + SLACK)
 
--- a/tests/test_peer_discovery.py
+++ b/tests/test_peer_discovery.py
@@ -29,7 +29,7 @@
         advance(START_S + SETTLE_S)
         for service in ("encode", "retrieve", "rerank"):
             self.assertEqual(len(fleet.owners(service)), 1)
-        self.assertEqual(fleet.least_known(), size - 1)
+        self.assertEqual(fleet.min_known_peers(), size - 1)
 
 
 class LargeFleetTest(unittest.TestCase):
@@ -71,14 +71,14 @@
 
     def test_an_owner_beyond_a_cut_is_not_asked(self):
         """Guards against waiting for owners of a zone that is known to be cut off."""
-        self.fleet.cut_off("c")
+        self.fleet.partition_zone("c")
         advance(SETTLE_S)
         self.inside.is_zone_unreachable = lambda zone: zone != "c"
         self.assertEqual(self.zone_of(self.owner()), "c")
 
     def test_a_silent_owner_is_not_asked_again_before_it_is_heard(self):
         """Guards against each request waiting for the same dead owner in turn."""
-        self.fleet.cut_off("c")
+        self.fleet.partition_zone("c")
         silent = set()
         while self.zone_of(self.owner()) != "c":
             silent.add(self.owner())
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -10,7 +10,7 @@
 from bergamotsaddle_serving.gossip import Gossip
 from bergamotsaddle_serving.policy import Mechanism, Policy
 from bergamotsaddle_serving.suspects import Suspects
-from bergamotsaddle_standins.peer_fleet import SILENT
+from bergamotsaddle_standins.peer_fleet import SILENT_LOGGER
 from tests._paused import advance, use_paused_clock
 
 DAY_S = 86_400.0
@@ -31,7 +31,7 @@
 
     def make(self, policy):
         return Suspects(
-            Gossip(), lambda facts: None, lambda: self.releases, SILENT, policy
+            Gossip(), lambda facts: None, lambda: self.releases, SILENT_LOGGER, policy
         )
 
     def end(self, *numbers, works=("w",), software="v1"):
@@ -93,7 +93,9 @@
 
     def test_it_is_released_after_a_day(self):
         gossip = Gossip()
-        suspects = Suspects(gossip, lambda _: None, lambda: self.releases, SILENT)
+        suspects = Suspects(
+            gossip, lambda _: None, lambda: self.releases, SILENT_LOGGER
+        )
         for number in (1, 2, 3):
             suspects.record_crash(target(number), ["w"])
         advance(DAY_S - 1.0)
--- a/tests/test_view_follower.py
+++ b/tests/test_view_follower.py
@@ -168,7 +168,7 @@
         self.store.write(KEY, b"1")
         self.dead = set()
         self.frozen = set()
-        self.fleet = PeerFleet(size, settle=SETTLE_S)
+        self.fleet = PeerFleet(size, accept_delay=SETTLE_S)
         self.instances = {}
         for peers in self.fleet:
             self.instances[peers.own.id] = Follower(self, peers)
