--- a/tests/test_result_memory.py
+++ b/tests/test_result_memory.py
@@ -1,4 +1,4 @@
-"""What an owner knows of the results that targets hold."""
+"""Tests for an owner's estimate of the result memory of its targets."""
 
 import unittest
 
@@ -12,54 +12,55 @@
 SMALL = 8_000
 
 
-class RoomTest(unittest.TestCase):
-    """What is known of the results that a target holds."""
+class ResultMemoryTest(unittest.TestCase):
+    """Free memory as results are added, released, expired and rejected."""
 
-    def test_results_end_after_their_time(self):
-        room = ResultMemory(10e6, 4.0)
-        room.add("h", LARGE, 0.0)
-        self.assertEqual(room.free_bytes(3.9), 7e6)
-        self.assertEqual(room.free_bytes(4.1), 10e6)
+    def test_results_expire_after_their_ttl(self):
+        memory = ResultMemory(10e6, 4.0)
+        memory.add("h", LARGE, 0.0)
+        self.assertEqual(memory.free_bytes(3.9), 7e6)
+        self.assertEqual(memory.free_bytes(4.1), 10e6)
 
-    def test_a_refusal_holds_back_that_size(self):
-        """Declared sizes are approximate, so a target may be full before we think.
+    def test_a_rejected_size_is_not_offered_again_at_once(self):
+        """Guards against retries of a result size that a target has just rejected.
 
-        Asking again at once met the same refusal every 2 ms, thousands of times.
+        Declared sizes are approximate, so a target may be full before the owner expects
+        it. Immediate retries were rejected every 2 ms, thousands of times.
         """
-        room = ResultMemory(18e6, 4.0)
-        room.record_full(LARGE, 0.0)
-        self.assertLess(room.free_bytes(FULL_PAUSE_S / 2), LARGE)
-        self.assertGreater(room.free_bytes(FULL_PAUSE_S / 2), SMALL)
-        room.add("h", LARGE, 0.0)
-        room.release("h")
-        self.assertGreater(room.free_bytes(FULL_PAUSE_S / 2), LARGE)
+        memory = ResultMemory(18e6, 4.0)
+        memory.record_full(LARGE, 0.0)
+        self.assertLess(memory.free_bytes(FULL_PAUSE_S / 2), LARGE)
+        self.assertGreater(memory.free_bytes(FULL_PAUSE_S / 2), SMALL)
+        memory.add("h", LARGE, 0.0)
+        memory.release("h")
+        self.assertGreater(memory.free_bytes(FULL_PAUSE_S / 2), LARGE)
 
-    def test_repeated_refusals_wait_longer(self):
-        room = ResultMemory(18e6, 4.0)
-        moment = 0.0
+    def test_repeated_rejections_wait_longer(self):
+        memory = ResultMemory(18e6, 4.0)
+        at = 0.0
         waits = []
         for _ in range(3):
-            room.record_full(LARGE, moment)
-            begin = moment
-            while room.free_bytes(moment) < LARGE:
-                moment += 0.01
-            waits.append(moment - begin)
+            memory.record_full(LARGE, at)
+            rejected_at = at
+            while memory.free_bytes(at) < LARGE:
+                at += 0.01
+            waits.append(at - rejected_at)
         self.assertGreater(waits[2], 3 * waits[0])
 
-    def test_results_of_a_dead_owner_are_counted_for_a_moment(self):
-        """An owner dies, and the target still holds what only it knew of.
+    def test_results_of_a_dead_owner_count_for_a_limited_time(self):
+        """An owner dies while its results still occupy memory at the target.
 
-        Its successor would call again and again for results that have no room; but a
-        target that is left alone says the same for ever, so it is tried again soon.
+        Its successor must not keep calling for results that do not fit. A target that
+        is not called reports the same free memory for ever, so it is tried again soon.
         """
-        room = ResultMemory(18e6, 4.0)
-        room.reconcile(3e6, 10.0)
-        self.assertEqual(room.free_bytes(10.1), 3e6)
-        self.assertEqual(room.free_bytes(10.0 + FOREIGN_TTL_S), 18e6)
+        memory = ResultMemory(18e6, 4.0)
+        memory.reconcile(3e6, 10.0)
+        self.assertEqual(memory.free_bytes(10.1), 3e6)
+        self.assertEqual(memory.free_bytes(10.0 + FOREIGN_TTL_S), 18e6)
 
-    def test_what_was_just_given_up_is_not_taken_for_somebody_elses(self):
-        room = ResultMemory(18e6, 4.0)
-        room.add("h", LARGE, 9.8)
-        room.release("h")
-        room.reconcile(15e6, 10.0)
-        self.assertEqual(room.free_bytes(10.1), 18e6)
+    def test_just_released_results_do_not_count_as_foreign(self):
+        memory = ResultMemory(18e6, 4.0)
+        memory.add("h", LARGE, 9.8)
+        memory.release("h")
+        memory.reconcile(15e6, 10.0)
+        self.assertEqual(memory.free_bytes(10.1), 18e6)
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -1,4 +1,4 @@
-"""Figures that operators get from daemons' logs."""
+"""Tests for the `review` command, which summarizes the logs of daemons."""
 
 import tempfile
 import unittest
@@ -14,8 +14,8 @@
 AT = "2026-01-05T08:00:{:02d}Z"
 
 
-def ended(request, outcome="whole", *, second=0):
-    """The line of a request's end."""
+def request_line(request, outcome="whole", *, second=0):
+    """Return the log line of a finished request."""
     return {
         "event": "request",
         "request": request,
@@ -25,8 +25,8 @@
     }
 
 
-def called(pieces, *, waiting=0, unmade=()):
-    """The line of a call of a stage target."""
+def call_line(pieces, *, waiting=0, unmade=()):
+    """Return the log line of a call to a stage target."""
     return {
         "event": "stage_call",
         "service": "encode",
@@ -37,8 +37,8 @@
     }
 
 
-def used(cpu, delay, *, second):
-    """The line of a daemon's usage."""
+def usage_line(cpu, delay, *, second):
+    """Return the log line of a daemon's resource usage."""
     return {
         "event": "usage",
         "cpu": cpu,
@@ -56,22 +56,26 @@
     "seconds": 0.3,
     "expected": 0.1,
 }
-SERVED = [ADMITTED, STAGES, FIRST, ended("a")]
-LOST = [ADMITTED, STAGES, ended("a", "deadline_passed")]
-TURNED_AWAY = [{"event": "turn_away", "request": "b"}, ended("b", "refused")]
+SERVED = [ADMITTED, STAGES, FIRST, request_line("a")]
+LOST = [ADMITTED, STAGES, request_line("a", "deadline_passed")]
+TURNED_AWAY = [{"event": "turn_away", "request": "b"}, request_line("b", "refused")]
 
 
 class ReviewTest(unittest.TestCase):
-    """Lines of a few requests."""
+    """Summaries of the log lines of a few requests."""
 
-    def test_forecasts_against_what_happened(self):
+    def test_forecasts_are_compared_with_actual_times(self):
         found = review_logs(SERVED)
         self.assertEqual(found.first_event["median"], 2.0)
         self.assertEqual(found.engine["median"], 3.0)
         self.assertEqual(found.by_stage["1 of 1"]["median"], 3.0)
 
     def test_calls(self):
-        lines = [called(4), called(2, waiting=3, unmade=["room"]), called(3, waiting=1)]
+        lines = [
+            call_line(4),
+            call_line(2, waiting=3, unmade=["room"]),
+            call_line(3, waiting=1),
+        ]
         calls = review_logs(lines).calls_by_service["encode"]
         self.assertEqual(calls["calls"], 3)
         self.assertEqual(calls["most"], 4)
@@ -79,15 +83,15 @@
         self.assertEqual(calls["unmade"], {"room": 1})
 
     def test_spans(self):
-        lines = [ended("a", second=1), ended("b", second=12)]
+        lines = [request_line("a", second=1), request_line("b", second=12)]
         self.assertEqual([span["whole"] for span in review_logs(lines).spans], [1, 1])
 
-    def test_usage_of_daemons_stands_beside_the_requests_of_the_time(self):
+    def test_spans_hold_the_usage_of_their_time(self):
         lines = [
-            ended("a", second=1),
-            used(0.1, 0.02, second=5),
-            used(0.3, 0.4, second=6),
-            ended("b", second=12),
+            request_line("a", second=1),
+            usage_line(0.1, 0.02, second=5),
+            usage_line(0.3, 0.4, second=6),
+            request_line("b", second=12),
         ]
         loaded, idle = review_logs(lines).spans
         self.assertEqual((loaded["cpu"], loaded["delay"]), (0.2, 0.4))
@@ -99,22 +103,26 @@
             ("calm", SERVED, "Nothing bound"),
             ("lost", LOST, "after work had begun"),
             ("no_waits", TURNED_AWAY, "no stage service"),
-            ("scarce", [*TURNED_AWAY, called(4), called(2, waiting=9)], "encode was"),
+            (
+                "scarce",
+                [*TURNED_AWAY, call_line(4), call_line(2, waiting=9)],
+                "encode was",
+            ),
         ]
     )
-    def test_what_bound(self, _, lines, expected):
+    def test_bottleneck(self, _, lines, expected):
         self.assertIn(expected, review_logs(lines).binds)
 
-    def test_work_for_lost_requests_is_counted(self):
+    def test_pieces_of_lost_requests_are_counted(self):
         self.assertEqual(review_logs(LOST).lost_pieces, 1)
         self.assertEqual(review_logs(SERVED).lost_pieces, 0)
 
 
 class ReviewCommandTest(unittest.TestCase):
-    """The command as an operator calls it."""
+    """The command as an operator runs it."""
 
     def run_command(self, lines, *arguments):
-        """Run it over a log; returns exit status, output and errors."""
+        """Run the command on a log; return exit status, output and errors."""
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         log = Path(directory.name) / "a.log"
@@ -127,7 +135,7 @@
         return status, tester.io.fetch_output(), tester.io.fetch_error()
 
     def test_tables(self):
-        status, output, _ = self.run_command([*SERVED, called(4)])
+        status, output, _ = self.run_command([*SERVED, call_line(4)])
         self.assertEqual(status, 0)
         self.assertIn("encode", output)
         self.assertIn("quotes", output)
@@ -137,7 +145,7 @@
         found = msgspec.json.decode(output)
         self.assertEqual(found["ends_by_route"]["quotes"]["whole"], 1)
 
-    def test_a_log_without_requests_is_told(self):
-        status, _, errors = self.run_command([called(4)])
+    def test_a_log_without_requests_is_an_error(self):
+        status, _, errors = self.run_command([call_line(4)])
         self.assertEqual(status, 1)
         self.assertIn("no request", errors)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""What the living instances told, worked out once for many questions."""
+"""Tests for the roster, which caches sums over the heartbeats of live instances."""
 
 import unittest
 from unittest import mock
@@ -10,16 +10,16 @@
 from bergamotsaddle_standins.peer_fleet import PeerFleet
 from tests._paused import advance, use_paused_clock
 
-FLEET = 40
+FLEET_SIZE = 40
 ZONES = ("a", "b", "c", "d")
 SERVICES = ("encode", "retrieve", "rerank")
-TURNS = (0, 1)
+PLACES = (0, 1)
 START_S = 0.3
-MEET_S = 1.0
+DISCOVERY_S = 1.0
 
 
 def make_waits(peers):
-    """Expected times of stages with three targets of each service in each zone."""
+    """Return stage wait forecasts with one known target of each service per zone."""
     known = [mock.Mock(target=mock.Mock(zone=zone)) for zone in ZONES]
     view = mock.Mock()
     view.usable.return_value = known
@@ -34,35 +34,35 @@
 
 
 class RequestCostTest(unittest.TestCase):
-    """A request that comes to one instance of a large fleet."""
+    """The cost of a request and of a heartbeat in a large fleet."""
 
     def setUp(self):
         use_paused_clock()
         self.addCleanup(use_paused_clock)
-        self.fleet = PeerFleet(FLEET)
+        self.fleet = PeerFleet(FLEET_SIZE)
         self.fleet.start(within=START_S)
-        advance(START_S + MEET_S)
+        advance(START_S + DISCOVERY_S)
         self.peers = next(iter(self.fleet))
 
-    def test_a_request_costs_one_walk_over_the_fleet(self):
-        """Guards against decisions that cost a walk over all instances each."""
+    def test_a_request_iterates_over_the_fleet_once(self):
+        """Guards against an iteration over all instances for each decision."""
         waits = make_waits(self.peers)
         with mock.patch.object(Peers, "alive", autospec=True) as alive:
             alive.return_value = list(self.peers.by_id.values())
             for zone in ZONES:
                 for service in SERVICES:
-                    for turn in TURNS:
-                        waits.best_scope(service, zone, turn)
+                    for place in PLACES:
+                        waits.best_scope(service, zone, place)
         self.assertLessEqual(alive.call_count, 1)
 
-    def test_an_owner_that_falls_silent_is_left_at_once(self):
-        """Guards against a roster that outlives what is known of an owner."""
+    def test_an_owner_that_falls_silent_is_dropped_at_once(self):
+        """Guards against a cached roster that outlives the state of an owner."""
         owner = rank_owners(self.peers, "encode", "b")[0]
         self.peers.suspect(owner)
         self.assertNotEqual(rank_owners(self.peers, "encode", "b")[0], owner)
 
-    def test_a_heartbeat_is_encoded_once_a_round(self):
-        """Guards against the cost of a heartbeat for each instance that gets it."""
+    def test_a_heartbeat_is_encoded_once_per_round(self):
+        """Guards against encoding the same heartbeat for each receiver."""
         with mock.patch(
             "bergamotsaddle_serving.peers.encode", return_value=b""
         ) as encode:
@@ -75,15 +75,17 @@
 
 
 class RosterTest(unittest.TestCase):
-    """Sums over what instances told."""
+    """Sums over the heartbeats of instances."""
 
-    def test_coming_pieces_are_summed_by_queue(self):
-        told = [
+    def test_pending_pieces_are_summed_by_queue(self):
+        heartbeats = [
             mock.Mock(pending=[("encode", "a", [1, 0, 2, 0, 0, 0])]),
             mock.Mock(pending=[("encode", "a", [0, 3, 0, 0, 0, 0])]),
             mock.Mock(pending=[("rerank", "b", [5, 0, 0, 0, 0, 0])]),
         ]
-        roster = Roster(told, [], min_cores_fraction=0.5, region=lambda zone: zone)
+        roster = Roster(
+            heartbeats, [], min_cores_fraction=0.5, region=lambda zone: zone
+        )
         self.assertEqual(
             roster.pending_by_queue,
             {("encode", "a"): [1, 3, 2, 0, 0, 0], ("rerank", "b"): [5, 0, 0, 0, 0, 0]},
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -1,4 +1,4 @@
-"""Which targets share a stage queue, and which instances may own it."""
+"""Tests for the scope of a stage queue and the instances that may own it."""
 
 import unittest
 from unittest import mock
@@ -37,15 +37,15 @@
 
 
 def make_peers():
-    """The peers of an instance in zone a, without a network."""
+    """Return the peers of an instance in zone a, without a network."""
     peers = Peers(SETTINGS, "life", mock.Mock())
     peers.send_to = mock.Mock()
     peers.accepts_work = True
     return peers
 
 
-def hear(peers, name, zone, *, accepts_work=True, cores=1.0):
-    """Have an instance send a heartbeat."""
+def receive_heartbeat(peers, name, zone, *, accepts_work=True, cores=1.0):
+    """Have the peers receive a heartbeat of an instance."""
     contact = Contact(name, zone, f"127.0.1.{len(peers.by_id) + 1}")
     heartbeat = Heartbeat(
         contact, f"life of {name}", accepts_work, 1, {}, [], {}, {}, cores, []
@@ -53,22 +53,27 @@
     peers._handle_heartbeat(heartbeat, ("127.0.0.1", 9))
 
 
-def known(zone, count):
-    """Targets in a zone."""
+def targets_in(zone, count):
+    """Return known targets in a zone."""
     target = Target("t", "encode", NOWHERE, zone, 1)
     return [KnownTarget(target, 0.0)] * count
 
 
 class ScopesTest(unittest.TestCase):
-    """Few targets share a queue, many have one a zone."""
+    """Few targets share a queue of the region; with many, each zone has its own."""
 
     @parameterized.expand(
         [
-            ("few", known("a", 3) + known("b", 3), "a", "east"),
-            ("other_region", known("a", 3) + known("b", 3), "c", "west"),
-            ("most", known("a", MAX_SHARED_TARGETS), "b", "east"),
-            ("many", known("a", MAX_SHARED_TARGETS) + known("b", 1), "b", "b"),
-            ("many_elsewhere", known("c", 50) + known("a", 1), "a", "east"),
+            ("few", targets_in("a", 3) + targets_in("b", 3), "a", "east"),
+            ("other_region", targets_in("a", 3) + targets_in("b", 3), "c", "west"),
+            ("most", targets_in("a", MAX_SHARED_TARGETS), "b", "east"),
+            (
+                "many",
+                targets_in("a", MAX_SHARED_TARGETS) + targets_in("b", 1),
+                "b",
+                "b",
+            ),
+            ("many_elsewhere", targets_in("c", 50) + targets_in("a", 1), "a", "east"),
         ]
     )
     def test_scope(self, _, targets, zone, expected):
@@ -77,23 +82,23 @@
 
 
 class OwnersTest(unittest.TestCase):
-    """Owners among the instances that are heard."""
+    """Owners among the reachable instances."""
 
     def setUp(self):
         self.peers = make_peers()
-        hear(self.peers, "b1", "b")
-        hear(self.peers, "c1", "c")
+        receive_heartbeat(self.peers, "b1", "b")
+        receive_heartbeat(self.peers, "c1", "c")
 
-    def test_a_region_is_owned_from_inside(self):
+    def test_a_queue_is_owned_within_its_scope(self):
         self.assertEqual(set(self.peers.owners("east")), {"me", "b1"})
         self.assertEqual(self.peers.owners("west"), ["c1"])
         self.assertEqual(self.peers.owners("b"), ["b1"])
 
-    def test_both_sides_of_a_cut_have_an_owner(self):
-        """A zone is cut off, and the owner of the region's queue is on the other side.
+    def test_both_sides_of_a_partition_have_an_owner(self):
+        """A partition cuts off a zone that holds the owner of the region's queue.
 
-        Its instances are no longer heard. Pieces that went on being sent to them would
-        wait until their callers leave.
+        Its instances are unreachable. Pieces that are still sent to them would wait
+        until their callers disconnect.
         """
         advance(2.0)
         self.assertEqual(rank_owners(self.peers, "encode", "east"), ["me"])
@@ -103,28 +108,28 @@
         """Two of six machines of a region have several times the cores of the others.
 
         The owner of a service with nine targets makes two dozen calls a second. On a
-        weak machine it falls behind in a burst, and all requests of the region wait.
+        machine with few cores it falls behind in a burst and delays the whole region.
         """
         peers = make_peers()
         for number in range(3):
-            hear(peers, f"weak{number}", "a", cores=0.4)
+            receive_heartbeat(peers, f"weak{number}", "a", cores=0.4)
         for number in range(2):
-            hear(peers, f"strong{number}", "b", cores=2.2)
+            receive_heartbeat(peers, f"strong{number}", "b", cores=2.2)
         self.assertEqual(set(peers.owners("east")), {"strong0", "strong1"})
         self.assertEqual(peers.owners("a"), ["me"])
 
     def test_an_instance_without_a_view_owns_nothing(self):
-        """An instance starts and is heard before it has read any target.
+        """An instance sends heartbeats before it has read any target.
 
-        As the owner of a queue it would turn every piece away.
+        As the owner of a queue it would reject every piece.
         """
-        hear(self.peers, "b1", "b", accepts_work=False)
+        receive_heartbeat(self.peers, "b1", "b", accepts_work=False)
         self.assertEqual(self.peers.owners("east"), ["me"])
         self.peers.accepts_work = False
-        hear(self.peers, "b1", "b")
+        receive_heartbeat(self.peers, "b1", "b")
         self.assertEqual(self.peers.owners("east"), ["b1"])
 
-    def test_a_life_is_known_while_it_is_heard(self):
+    def test_an_incarnation_is_known_while_heartbeats_arrive(self):
         self.assertEqual(self.peers.incarnation_of("b1"), "life of b1")
         advance(2.0)
         self.assertIsNone(self.peers.incarnation_of("b1"))
--- a/tests/test_serving_caller.py
+++ b/tests/test_serving_caller.py
@@ -1,4 +1,4 @@
-"""The callers' edge: requests that parsers disagree on, slow ones, and leaving."""
+"""Tests for caller connections: ambiguous and slow requests, and disconnects."""
 
 import socket
 import unittest
@@ -21,8 +21,8 @@
 LENGTH = b"Content-Length: 3\r\n"
 
 
-def pair():
-    """A caller's socket and the connection that serves it."""
+def connect():
+    """Return a caller's socket and the connection that serves it."""
     listener = eventlet.listen(("127.0.0.1", 0))
     client = eventlet.connect(listener.getsockname())
     server, _ = listener.accept()
@@ -31,11 +31,11 @@
 
 
 class RequestTest(unittest.TestCase):
-    """One request as bytes."""
+    """Parsing of one request."""
 
     def read(self, data, *, end=False):
         """Send bytes and read a request from them."""
-        self.client, connection = pair()
+        self.client, connection = connect()
         self.client.sendall(data)
         if end:
             self.client.shutdown(socket.SHUT_WR)
@@ -61,11 +61,11 @@
             ("no_http", b"hello\r\n\r\n"),
         ]
     )
-    def test_ambiguous_requests_are_refused(self, _, data):
-        """A caller, or somebody behind it, sends what two parsers read differently.
+    def test_ambiguous_requests_are_rejected(self, _, data):
+        """Guards against request smuggling: two parsers read one request differently.
 
-        A second request hidden inside the first one would reach a target with a name
-        and a team that nobody checked.
+        A second request hidden inside the first one would reach a target under a name
+        and a team that were not authenticated.
         """
         try:
             with self.assertRaises(RequestError) as raised:
@@ -106,19 +106,19 @@
         request = self.read(b"GET /a%2Fb/?q=%20 HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertEqual(request.path, b"/a%2Fb/?q=%20")
 
-    def test_idle_callers_are_let_go(self):
+    def test_idle_connections_are_closed(self):
         self.assertIsNone(self.read(b""))
 
-    def test_a_cut_request_never_runs(self):
+    def test_a_truncated_request_never_runs(self):
         with self.assertRaises(CallerLeftError):
             self.read(HEAD + b"Content-Length: 9\r\n\r\nabc", end=True)
 
 
-class AnswerTest(unittest.TestCase):
-    """Answers, and callers that leave."""
+class ResponseTest(unittest.TestCase):
+    """Responses, and callers that disconnect."""
 
-    def test_pipelined_requests_are_served_in_turn(self):
-        client, connection = pair()
+    def test_pipelined_requests_are_served_in_order(self):
+        client, connection = connect()
         client.sendall((HEAD + b"Content-Length: 1\r\n\r\na") * 2)
         for _ in range(2):
             self.assertEqual(connection.read().body, b"a")
@@ -127,7 +127,7 @@
         self.assertEqual(client.recv(1000).count(b"200"), 2)
 
     def test_a_request_sent_while_another_is_served_is_kept(self):
-        client, connection = pair()
+        client, connection = connect()
         client.sendall(HEAD + b"\r\n")
         connection.read()
 
@@ -140,20 +140,20 @@
         self.assertTrue(connection.prepare_next())
         self.assertEqual(connection.read().body, b"b")
 
-    def test_work_ends_when_the_caller_leaves(self):
-        """A caller gives up while its request waits or runs.
+    def test_work_is_cancelled_when_the_caller_disconnects(self):
+        """A caller disconnects while its request waits or runs.
 
-        Work that goes on for nobody takes the place of somebody's.
+        Work that continued for it would use capacity that other requests need.
         """
-        client, connection = pair()
+        client, connection = connect()
         client.sendall(HEAD + b"\r\n")
         connection.read()
         eventlet.spawn_after(0.02, client.close)
         with self.assertRaises(CallerLeftError):
             connection.run_while_connected(lambda: eventlet.sleep(5))
 
-    def test_a_stream_that_breaks_never_looks_whole(self):
-        client, connection = pair()
+    def test_a_broken_stream_never_looks_complete(self):
+        client, connection = connect()
         client.sendall(HEAD + b"\r\n")
         connection.read()
         connection.start(200, [])
@@ -165,8 +165,8 @@
                 received += data
         self.assertNotIn(b"0\r\n\r\n", received)
 
-    def test_a_stopping_instance_says_that_it_closes(self):
-        client, connection = pair()
+    def test_a_stopping_instance_announces_the_close(self):
+        client, connection = connect()
         connection._is_stopping = lambda: True
         client.sendall(HEAD + b"\r\n")
         connection.read()
--- a/tests/test_serving_events.py
+++ b/tests/test_serving_events.py
@@ -1,4 +1,4 @@
-"""Streams are passed on in whole events."""
+"""Tests for splitting a stream into complete events."""
 
 import unittest
 
@@ -11,10 +11,10 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    """Bytes in any pieces."""
+    """Events from bytes that are split anywhere."""
 
     @parameterized.expand([(size,) for size in (1, 3, 7, len(ONE + TWO))])
-    def test_events_are_whole_however_they_come(self, size):
+    def test_events_are_complete_however_they_are_split(self, size):
         splitter = EventSplitter()
         data = ONE + TWO
         events = []
@@ -24,17 +24,17 @@
         self.assertEqual([event.id for event in events], [1, 2])
         self.assertEqual(splitter.remainder, b"")
 
-    def test_a_part_of_an_event_is_kept_back(self):
-        """An engine dies in the middle of an event and another one goes on.
+    def test_an_incomplete_event_is_kept(self):
+        """An engine dies in the middle of an event and another one resumes the stream.
 
-        Had the first part been passed on, the caller would see a torn event, or the
+        If the incomplete event were relayed, the caller would see a broken event or the
         same tokens twice.
         """
         splitter = EventSplitter()
         self.assertEqual(len(splitter.feed(ONE + TWO[:9])), 1)
         self.assertEqual(splitter.remainder, TWO[:9])
 
-    def test_line_ends_and_missing_ids(self):
+    def test_line_endings_and_missing_ids(self):
         splitter = EventSplitter()
         events = splitter.feed(b"data: x\r\n\r\n: note\n\n")
         self.assertEqual([event.id for event in events], [None, None])
--- a/tests/test_serving_log.py
+++ b/tests/test_serving_log.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded and never hold a daemon up."""
+"""Tests for the bounded log output, which never blocks a daemon."""
 
 import contextlib
 import os
@@ -12,7 +12,7 @@
 
 
 class BoundedOutputTest(unittest.TestCase):
-    """A pipe that is read, or not."""
+    """Log output to a pipe whose reader may have stopped."""
 
     def setUp(self):
         self.reader, self.writer = os.pipe()
@@ -21,8 +21,8 @@
         self.output = BoundedOutput(self.writer)
 
     def read(self):
-        """All whole lines in the pipe."""
-        # The green read would wait on the hub, whose clock stands still.
+        """Read and decode all lines in the pipe."""
+        # The green read would wait on the hub, whose clock is paused.
         plain = patcher.original("os")
         plain.set_blocking(self.reader, False)
         data = b""
@@ -31,11 +31,11 @@
                 data += part
         return [msgspec.json.decode(line) for line in data.splitlines()]
 
-    def test_a_reader_that_stands_still_stops_nothing(self):
-        """Whoever collects the logs hangs, and the pipe fills up.
+    def test_a_stopped_reader_does_not_block_the_daemon(self):
+        """The log collector hangs, and the pipe fills up.
 
-        A daemon that waited for it would serve nobody; lines are dropped and counted,
-        and the ones that get through are whole.
+        A daemon that waited for it would serve no requests. Lines are dropped and
+        counted instead, and the lines that are written are complete.
         """
         logger = make_logger("a1", self.output)
         for number in range(40):
@@ -51,7 +51,7 @@
         self.assertIn("log_dropped", events)
         self.assertEqual(self.output.dropped, 0)
 
-    def test_a_flood_of_one_kind_leaves_room_for_failures(self):
+    def test_a_flood_of_one_event_leaves_capacity_for_failures(self):
         logger = make_logger("a1", self.output)
         for _ in range(int(2 * LINES_PER_S)):
             logger.info("request")
--- a/tests/test_serving_metrics.py
+++ b/tests/test_serving_metrics.py
@@ -1,4 +1,4 @@
-"""The page of metrics."""
+"""Tests for the metrics page."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """Requests that have ended, and a gauge."""
+    """Counters and histograms of finished requests, and a gauge."""
 
     def test_page(self):
         metrics = Metrics()
--- a/tests/test_serving_settings.py
+++ b/tests/test_serving_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a serving daemon, and what is said of wrong ones."""
+"""Tests for the settings of a serving daemon and the errors in them."""
 
 import unittest
 
@@ -38,7 +38,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """The file that the platform renders from the template."""
+    """The settings file that the platform renders from the template."""
 
     def test_regions_of_zones(self):
         settings = parse_settings(TEXT, name="daemon.ini")
@@ -50,13 +50,13 @@
             parse_settings(text, name="daemon.ini").zones.region_by_zone, {}
         )
 
-    def test_strength_is_that_of_the_weaker_part(self):
+    def test_cores_are_limited_by_the_scarcer_resource(self):
         text = TEXT + "\n[capacity]\ncpu_share = 0.5\ncpus = 4\nlink_mbps = 10\n"
         settings = parse_settings(text, name="daemon.ini")
         self.assertEqual(settings.capacity.cores, 0.5)
         self.assertEqual(parse_settings(TEXT, name="daemon.ini").capacity.cores, 1.0)
 
-    def test_mechanisms_are_in_force_unless_switched_off(self):
+    def test_mechanisms_are_enabled_unless_switched_off(self):
         text = TEXT + "\n[policy]\noff = home_zones, full_calls\n"
         policy = parse_settings(text, name="daemon.ini").policy
         self.assertFalse(policy.has(Mechanism.HOME_ZONES))
@@ -64,7 +64,7 @@
         self.assertFalse(parse_settings(TEXT, name="daemon.ini").policy.off)
 
     @parameterized.expand([("unknown", "homes"), ("twice", "admission, admission")])
-    def test_wrong_mechanisms_are_refused(self, _, words):
+    def test_invalid_mechanisms_are_rejected(self, _, words):
         text = TEXT + f"\n[policy]\noff = {words}\n"
         with self.assertRaises(InvalidFileError) as caught:
             parse_settings(text, name="daemon.ini")
--- a/tests/test_serving_stop.py
+++ b/tests/test_serving_stop.py
@@ -1,4 +1,4 @@
-"""Requests that are still running when an instance ends."""
+"""Tests for requests that are still running when an instance stops."""
 
 import unittest
 from unittest import mock
@@ -22,7 +22,7 @@
 
 
 def make_context(*, is_sent):
-    """A request that waits, or has been sent."""
+    """Return the context of a request that waits, or has been sent to a target."""
     progress = Progress()
     progress.is_sent = is_sent
     head = RequestHead("r1", b"POST", b"/", "h", "", 9.0)
@@ -32,20 +32,20 @@
 
 
 def make_handler():
-    """A handler that holds nothing back."""
-    suspects = mock.Mock(is_quarantined=lambda work: False)
+    """Return a handler that quarantines no request."""
+    suspects = mock.Mock(is_quarantined=lambda fingerprint: False)
     return Handler(*(mock.MagicMock() for _ in range(7)), suspects=suspects)
 
 
 class StopTest(unittest.TestCase):
-    """An instance whose time to stop is up."""
+    """An instance whose stop limit has passed."""
 
     @parameterized.expand([("waiting", False, b" 503 "), ("sent", True, b" 502 ")])
-    def test_every_request_gets_a_true_answer(self, _, is_sent, status):
-        """Requests wait for a stage or a target when the process is about to end.
+    def test_every_request_gets_a_truthful_response(self, _, is_sent, status):
+        """Requests wait for a stage or a target when the process is about to exit.
 
-        Were their connections only closed, callers would not know whether they have
-        run; "not run" may be said only of those of which nothing has left.
+        If their connections were just closed, callers would not know whether the
+        requests have run. "Not run" may be reported only when nothing was sent.
         """
         plain = mock.Mock()
         plain.serve = lambda context: eventlet.sleep(5)
@@ -66,13 +66,13 @@
         eventlet.sleep(0.01)
         self.assertEqual(handler.active, 0)
 
-    def test_closing_an_idle_connection_ends_only_that(self):
-        """An instance that stops closes a kept connection on which nothing is asked.
+    def test_closing_an_idle_connection_affects_no_other(self):
+        """A stopping instance closes a kept-alive connection without a request.
 
-        Another green thread waits for the next request on it. Closed under its hands,
-        it gets an error as soon as the descriptor is used again; that came out of the
-        hub and ended the whole process, and callers whose streams were still running
-        got half an answer.
+        Another green thread waits for the next request on it. If the connection is
+        closed while that thread waits, the thread gets an error as soon as the
+        descriptor is reused. The error was raised in the hub and ended the process,
+        and callers of running streams got incomplete responses.
         """
         handler = make_handler()
         listener = eventlet.listen(("127.0.0.1", 0))
@@ -96,7 +96,7 @@
             (True, ErrorKind.DEADLINE_PASSED),
         ]
     )
-    def test_giving_up_says_what_is_known(self, is_sent, kind):
+    def test_an_abort_error_reports_whether_the_request_was_sent(self, is_sent, kind):
         error = make_context(is_sent=is_sent).abort_error(
             ErrorKind.DEADLINE_PASSED, "x"
         )
--- a/tests/test_serving_view.py
+++ b/tests/test_serving_view.py
@@ -1,4 +1,4 @@
-"""The newest of what was published wins, whatever its source."""
+"""Tests for the view: the newest published entry wins, whatever its source."""
 
 import unittest
 from unittest import mock
@@ -25,52 +25,52 @@
 
 
 def entry(key, revision, value=None, **changes):
-    """An item of the store; without a value a deletion."""
+    """Return an entry of the store; without a value it is a deletion."""
     body = None if value is None else msgspec.json.encode(value | changes)
     return StoreEntry(key, revision, body)
 
 
 def make_view():
-    """A view without a store."""
+    """Return a view without a store."""
     return View(PlatformDialect(), mock.Mock())
 
 
 class ViewTest(unittest.TestCase):
-    """One instance's view."""
+    """The view of one instance."""
 
     def setUp(self):
         self.view = make_view()
 
     def apply(self, *entries):
-        """Take entries in."""
+        """Apply entries to the view."""
         self.view.apply(entries, max(e.revision for e in entries), source="test")
 
-    def ids(self):
-        """Targets that may get work."""
+    def usable_ids(self):
+        """Return the ids of the targets that may get work."""
         return [known.target.id for known in self.view.usable("s")]
 
-    def test_older_news_change_nothing(self):
-        """A peer that was cut off tells what it knew before.
+    def test_older_updates_change_nothing(self):
+        """A peer that was cut off sends outdated entries.
 
-        Were it believed, a target that has left would get work again.
+        If they were applied, a target that has left would get work again.
         """
         self.apply(entry("servers/t", 9, TARGET, state="draining"))
         self.apply(entry("servers/t", 8, TARGET))
-        self.assertEqual(self.ids(), [])
+        self.assertEqual(self.usable_ids(), [])
 
-    def test_a_first_list_is_complete_when_watchers_hear_of_it(self):
+    def test_a_first_snapshot_is_complete_when_listeners_run(self):
         """An instance starts while nothing changes for a while.
 
-        If its parts were told of the list before it counts as complete, the instance
-        would not offer to own queues until the next change, and after a restart of all
-        instances no stage would be done.
+        If listeners ran before the view counts as complete, the instance would not
+        offer to own queues until the next change, and after a restart of all instances
+        no stage would run.
         """
         seen = []
         self.view.subscribe(lambda: seen.append(self.view.is_complete()))
         self.view.replace([entry("op/config", 4, CONFIG)], 4, source="test")
         self.assertEqual(seen, [True])
 
-    def test_an_older_version_of_the_configuration_is_never_taken(self):
+    def test_an_older_version_of_the_configuration_is_never_applied(self):
         self.apply(entry("op/config", 4, CONFIG, version=9))
         self.apply(entry("op/config", 5, CONFIG, version=8))
         self.assertEqual(self.view.configuration.version, 9)
@@ -83,45 +83,45 @@
             ("service", {"service": None}),
         ]
     )
-    def test_malformed_entries_name_no_target(self, _, change):
+    def test_malformed_entries_add_no_target(self, _, change):
         self.apply(entry("servers/t", 4, TARGET | change))
-        self.assertEqual(self.ids(), [])
+        self.assertEqual(self.usable_ids(), [])
 
-    def test_evacuated_zones_get_nothing_until_taken_back(self):
+    def test_evacuated_zones_get_no_work_until_readmitted(self):
         self.apply(entry("servers/t", 4, TARGET), entry("op/evacuate/a", 5, {}))
-        self.assertEqual(self.ids(), [])
+        self.assertEqual(self.usable_ids(), [])
         self.apply(entry("op/evacuate/a", 6))
-        self.assertEqual(self.ids(), ["t"])
+        self.assertEqual(self.usable_ids(), ["t"])
         self.assertTrue(self.view.is_cold(self.view.usable("s")[0]))
 
-    def test_a_list_deletes_what_it_lacks(self):
+    def test_a_snapshot_deletes_missing_entries(self):
         self.apply(entry("servers/t", 4, TARGET))
         self.view.replace([], 7, source="store")
-        self.assertEqual(self.ids(), [])
+        self.assertEqual(self.usable_ids(), [])
 
     def test_lapsed_entries_stay_until_the_store_has_been_back_for_a_while(self):
         """Targets could not write to the store while it was away.
 
-        Their entries lapse though they live; giving all of them up at once would
-        leave callers without any.
+        Their entries lapse although the targets are alive. Dropping all of them at once
+        would leave callers without any target.
         """
         self.apply(entry("servers/t", 4, TARGET))
         advance(1.0)
         self.view.store_regained_at = self.now()
         self.apply(entry("servers/t", 5))
-        self.assertEqual(self.ids(), ["t"])
+        self.assertEqual(self.usable_ids(), ["t"])
         advance(LAPSE_GRACE_S + 0.1)
         self.view.drop_lapsed()
-        self.assertEqual(self.ids(), [])
+        self.assertEqual(self.usable_ids(), [])
 
-    def test_an_entry_that_is_back_in_time_stays(self):
+    def test_an_entry_that_is_renewed_in_time_stays(self):
         self.apply(entry("servers/t", 4, TARGET))
         self.view.store_regained_at = self.now()
         self.apply(entry("servers/t", 5))
         self.apply(entry("servers/t", 6, TARGET))
         advance(LAPSE_GRACE_S + 0.1)
         self.view.drop_lapsed()
-        self.assertEqual(self.ids(), ["t"])
+        self.assertEqual(self.usable_ids(), ["t"])
 
     def test_work_chosen_before_a_change_is_not_sent_after_it(self):
         self.apply(entry("servers/t", 4, TARGET))
@@ -131,7 +131,7 @@
         self.assertFalse(self.view.may_get_work(target))
 
     def now(self):
-        """Time of the paused hub."""
+        """Return the time of the paused hub."""
         from bergamotsaddle_daemon.clock import now
 
         return now()
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -1,4 +1,4 @@
-"""Stages of a request through an owner's queue, with targets that fail."""
+"""Tests for stages that run through an owner's queue, with failing targets."""
 
 import unittest
 from unittest import mock
@@ -47,7 +47,7 @@
 
 
 def make_submission(request):
-    """One piece of a large result of a request."""
+    """Return the submission of one piece with a large result."""
     return Submit(
         request=request,
         stage=0,
@@ -67,7 +67,15 @@
 
 
 class FakeCalls:
-    """Targets that do as their script says, each call in 0.2 s."""
+    """Targets with scripted outcomes, which take 0.2 s for each call.
+
+    Attributes:
+        script: Outcomes of the next calls: None for success, an exception to raise, or
+            the failures by piece number.
+        calls: Target id and piece keys of each call.
+        released: Handles of released results.
+        live: Handles of results that targets hold.
+    """
 
     def __init__(self):
         self.script = []
@@ -77,33 +85,35 @@
         self._made = 0
 
     def run(self, target, batch, limit):
-        """Work on pieces."""
+        """Run a call; return a result for each piece."""
         self.calls.append((target.id, [piece.key[:3] for piece in batch]))
-        # Inputs are fetched at the beginning, so they may be given up from then on.
+        # Inputs are fetched at the start, so they may be released from then on.
         lost = {p.key for p in batch if not self.live.issuperset(p.inputs)}
         eventlet.sleep(0.2)
-        what = self.script.pop(0) if self.script else None
-        if isinstance(what, Exception):
-            raise what
-        return [self._result(target, piece, what, piece.key in lost) for piece in batch]
+        outcome = self.script.pop(0) if self.script else None
+        if isinstance(outcome, Exception):
+            raise outcome
+        return [
+            self._result(target, piece, outcome, piece.key in lost) for piece in batch
+        ]
 
-    def _result(self, target, piece, what, is_lost):
+    def _result(self, target, piece, outcome, is_lost):
         if is_lost:
             return PieceResult("", PieceFailure.GONE)
-        if isinstance(what, dict) and piece.key.number in what:
-            return PieceResult("", what[piece.key.number])
+        if isinstance(outcome, dict) and piece.key.number in outcome:
+            return PieceResult("", outcome[piece.key.number])
         self._made += 1
         handle = f"{target.address}/{self._made}"
         self.live.add(handle)
         return PieceResult(handle)
 
     def release(self, target, handles):
-        """Give up results."""
+        """Release results."""
         self.released += handles
         self.live -= set(handles)
 
     def query_free_memory(self, target):
-        """Free room."""
+        """Return the free memory in bytes."""
         return 18e6
 
 
@@ -144,12 +154,14 @@
         self.view.apply([config, encode, rerank], 82, source="test")
 
     def add_target(self, name, service, port, zone):
-        """Have one more target register itself."""
+        """Add a target to the view."""
         entry = target_entry(name, service, port, zone)
         self.view.apply([entry], 90, source="test")
 
-    def start(self, pieces=(2, 3), stages=STAGES, name="r1", ttl_seconds=4.0, work=""):
-        """Begin the stages of a request."""
+    def start(
+        self, pieces=(2, 3), stages=STAGES, name="r1", ttl_seconds=4.0, fingerprint=""
+    ):
+        """Start the stages of a request."""
         route = ROUTE._replace(stages=stages)
         head = RequestHead(name, b"POST", b"/", "h", "", 8.0, pieces=pieces)
         plan = StagePlan(
@@ -172,7 +184,7 @@
             choose_queues=lambda service, stage, count: [("a", count)],
             pending=PendingWork(),
             ttl_seconds=lambda service: ttl_seconds,
-            fingerprint=work,
+            fingerprint=fingerprint,
         )
         self.thread = eventlet.spawn(self._run)
         settle()
@@ -184,12 +196,12 @@
             return error
 
     def finish(self, seconds):
-        """Let time pass; the end of the stages."""
+        """Let time pass; return the outcome of the stages, which must have ended."""
         advance(seconds)
         self.assertTrue(self.thread.dead, "the stages have not ended")
         return self.thread.wait()
 
-    def test_stages_run_in_turn_and_results_are_given_up(self):
+    def test_stages_run_in_order_and_results_are_released(self):
         self.start()
         end = self.finish(0.6)
         self.assertEqual(len(end.handles), 3)
@@ -198,56 +210,56 @@
         advance(0.1)
         self.assertEqual(self.calls.live, set())
 
-    def test_pieces_under_which_targets_end_stop_reaching_them(self):
-        """Guards against a request that ends one stage target after the other."""
+    def test_pieces_that_crash_targets_are_quarantined(self):
+        """Guards against a request that crashes one stage target after the other."""
         for number, zone in enumerate("abc"):
             self.add_target(f"more{number}", "encode", 83 + number, zone)
         for name in ("r1", "r2", "r3"):
             self.calls.script = [ConnectionLostError("closed")] * 9
-            self.start((1, 1), name=name, work="w")
+            self.start((1, 1), name=name, fingerprint="w")
             advance(4.0)
         self.assertTrue(self.suspects.is_quarantined("w"))
         self.assertEqual(len(self.calls.calls), MAX_CRASHES)
 
-    def test_a_call_that_a_target_answers_clears_its_requests(self):
-        self.start(work="w")
+    def test_a_successful_call_clears_its_requests(self):
+        self.start(fingerprint="w")
         self.finish(0.6)
         for number in range(3):
             self.suspects.record_crash(self.target("t1", started_ms=number), ["w"])
         self.assertFalse(self.suspects.is_suspect("w"))
 
     def target(self, name, started_ms=0):
-        """A target as it is listed, in some life."""
+        """Return a listed target in an incarnation with the given start time."""
         known = next(k for k in self.view.usable("encode") if k.target.id == name)
         return known.target._replace(started_ms=started_ms)
 
-    def test_pieces_that_find_no_room_are_not_gone_through_again_and_again(self):
-        """A target has no room, and six hundred requests come within 0.6 s.
+    def test_pieces_without_memory_are_not_scanned_repeatedly(self):
+        """A target has no memory, and six hundred requests arrive within 0.6 s.
 
-        Each of them wakes the green thread that calls the target. If it went through
-        all that wait each time, the owner of a large service would do nothing else,
-        and its senders would take it for dead. Looking at a piece takes 2 to 3 us, so
+        Each of them wakes the green thread that calls the target. If it scanned all
+        waiting pieces each time, the owner of a large service would do nothing else,
+        and its senders would consider it dead. Scanning a piece takes 2 to 3 us, so
         20,000 of them in a second are a twentieth of a core.
         """
-        looked_at = []
+        scanned = []
 
-        def look(queue, *args, **kwargs):
-            looked_at.append(len(queue))
+        def count_scanned(queue, *args, **kwargs):
+            scanned.append(len(queue))
             return pop_batch(queue, *args, **kwargs)
 
         pop_batch = StageQueue.pop_batch
         self.calls.script = [dict.fromkeys(range(4), PieceFailure.NO_MEMORY)] * 9
-        with mock.patch.object(StageQueue, "pop_batch", look):
+        with mock.patch.object(StageQueue, "pop_batch", count_scanned):
             for number in range(600):
                 self.owner.submit(make_submission(f"r{number}"), "me")
                 advance(0.001)
-        self.assertLess(sum(looked_at), 20_000)
+        self.assertLess(sum(scanned), 20_000)
 
-    def test_news_during_the_pause_of_a_worker_is_not_lost(self):
-        """Room is given up just after a worker found none and pauses.
+    def test_a_change_during_the_pause_of_a_worker_is_not_lost(self):
+        """Memory is released just after a worker found none and pauses.
 
-        Waiting only for news that come after the pause, it would leave its target idle
-        for a quarter of a second beside a full queue.
+        If the worker waited only for changes after the pause, it would leave its target
+        idle for a quarter of a second beside a full queue.
         """
         queue = ServiceQueue("encode", FOUR_A_CALL, FULL_POLICY)
         for number in range(100):
@@ -260,11 +272,11 @@
         advance(0.01)
         self.assertTrue(thread.dead)
 
-    def test_one_failed_piece_is_done_again_alone(self):
-        """One piece of a stage fails, the others have results.
+    def test_one_failed_piece_is_retried_alone(self):
+        """One piece of a stage fails, the remaining ones have results.
 
-        Doing all of them again would cost a call of which most is not needed, and
-        the results that are there would be held for nothing.
+        Retrying all of them would cost a call of which most is not needed, and the
+        existing results would occupy memory for nothing.
         """
         self.calls.script = [{1: PieceFailure.ERROR}]
         self.start()
@@ -272,10 +284,10 @@
         self.assertEqual(len(end.handles), 3)
         self.assertEqual(self.calls.calls[1], ("t1", [("r1", 0, 1)]))
 
-    def test_a_lost_input_is_made_again(self):
-        """The maker of a result dies before the next stage has fetched it.
+    def test_a_lost_input_is_recomputed(self):
+        """The target of a result dies before the next stage has fetched the result.
 
-        The stage before is done anew; its old results must not be handed out again.
+        The stage before runs again; its old results must not be used again.
         """
         self.start()
         advance(0.25)
@@ -284,11 +296,11 @@
         self.assertEqual(len(end.handles), 3)
         self.assertTrue(set(end.handles) <= self.calls.live)
 
-    def test_a_chain_is_begun_where_its_inputs_still_are(self):
-        """The last stage fails after all results before it were given up.
+    def test_a_chain_restarts_at_the_last_stage_with_inputs(self):
+        """The last stage fails after the results of all earlier stages were released.
 
-        Sent with handles that we gave up ourselves, pieces of each stage would take a
-        call only to learn that their inputs are gone: three calls for nothing.
+        If pieces were sent with handles that the run itself has released, each stage
+        would need a call to learn that its inputs are gone: three calls for nothing.
         """
         for name in ("r0", "r1"):
             self.start((1, 1, 1), CHAIN, name=name)
@@ -301,12 +313,12 @@
         stages = [pieces[0][1] for _, pieces in self.calls.calls]
         self.assertEqual(stages, [0, 1, 2, 0, 1, 2])
 
-    def test_a_broken_call_is_repeated(self):
+    def test_a_broken_call_is_retried(self):
         self.calls.script = [ConnectionLostError("reset")]
         self.start()
         self.assertEqual(len(self.finish(2.0).handles), 3)
 
-    def test_a_zone_that_is_taken_out_gets_no_further_piece(self):
+    def test_an_evacuated_zone_gets_no_further_piece(self):
         self.start()
         evacuation = StoreEntry("op/evacuate/a", 90, b"{}")
         self.view.apply([evacuation], 90, source="test")
@@ -314,10 +326,10 @@
         self.assertLessEqual(len(self.calls.calls), 1)
         self.assertIsInstance(self.finish(2.0), RequestError)
 
-    def test_results_of_a_request_that_has_ended_are_given_up(self):
-        """A caller leaves while a target works on its pieces.
+    def test_results_of_an_ended_request_are_released(self):
+        """A caller disconnects while a target works on its pieces.
 
-        Nobody would fetch the results, and they would hold room for seconds.
+        The results would never be fetched, and would occupy memory for seconds.
         """
         self.start()
         advance(0.1)
@@ -327,11 +339,11 @@
         self.assertEqual(self.calls.live, set())
         self.assertEqual(len(self.calls.calls), 1)
 
-    def test_work_of_an_instance_that_died_is_dropped(self):
-        """An instance is killed while its requests wait here.
+    def test_pieces_of_a_dead_instance_are_dropped(self):
+        """An instance is killed while its pieces wait in an owner's queue.
 
-        Their pieces would take calls, and their results hold room until they expire;
-        requests of other instances find targets full meanwhile.
+        The pieces would take calls, and their results would occupy memory until they
+        expire. Meanwhile requests of other instances would find the targets full.
         """
         self.peers.id_of.return_value = "other"
         submit = Submit(
@@ -362,7 +374,7 @@
     def test_pieces_whose_inputs_have_expired_are_not_sent(self):
         """A request waits before its second stage until its inputs have expired.
 
-        Each of its pieces would take a call only to learn that; a fifth of the pieces
+        Each of its pieces would take a call only to learn that. A fifth of the pieces
         of an overloaded last stage did.
         """
         self.peers.owners.side_effect = lambda zone: ["me"]
@@ -372,10 +384,10 @@
         self.assertEqual([t for t, _ in self.calls.calls].count("t2"), 1)
         self.assertIsInstance(self.thread.wait(), RequestError)
 
-    def test_releases_that_a_dying_owner_missed_are_repeated(self):
-        """An owner dies, and what it is sent until that is noticed is lost.
+    def test_releases_that_a_dying_owner_missed_are_resent(self):
+        """Messages to a dead owner are lost until its death is detected.
 
-        The results would hold their room until they expire.
+        The results would occupy memory until they expire.
         """
         message = Release("encode", ["h1"])
         self.peers.is_alive.return_value = True
@@ -387,7 +399,7 @@
         self.exchange.resend_releases()
         self.peers.send.assert_called_with("third", message)
 
-    def test_releases_are_not_kept_for_ever(self):
+    def test_releases_are_not_kept_forever(self):
         self.peers.is_alive.return_value = True
         self.exchange.release("other", "a", Release("encode", ["h1"]))
         advance(2.0)
@@ -397,10 +409,10 @@
         self.assertEqual(self.peers.send.call_count, 1)
 
     def test_an_owner_that_was_replaced_hands_its_queue_over(self):
-        """An instance comes back and owns the queue again.
+        """An instance returns and owns the queue again.
 
-        Two instances that go on calling the same target send half-filled calls and
-        each know half of what it holds.
+        Two instances that keep calling the same target would send half-filled calls,
+        and each would know only half of the results that the target holds.
         """
         self.start((8, 1))
         self.peers.owners.return_value = ["other"]
@@ -410,12 +422,12 @@
         sent_to = [call.args[0] for call in self.peers.send.call_args_list]
         self.assertIn("other", sent_to)
 
-    def test_targets_of_a_zone_that_is_back_are_left_to_its_own_owner(self):
-        """All instances of another zone stop and come back.
+    def test_targets_of_a_returned_zone_go_back_to_its_owner(self):
+        """All instances of another zone stop and return.
 
-        Meanwhile its targets are called from here. If that went on, two owners would
-        call them for good, each blind to the results that the other's calls hold; two
-        pieces in five then find no room.
+        In the meantime this owner calls the targets of that zone. If it continued, two
+        owners would call them, and neither would know the results of the other's calls:
+        two pieces in five then find no memory.
         """
         self.add_target("t3", "encode", 83, zone="b")
         self.start((4, 1), name="r0")
@@ -432,10 +444,11 @@
         self.finish(2.0)
         self.assertNotIn("t3", {target for target, _ in self.calls.calls})
 
-    def test_results_at_targets_of_another_owner_are_given_up(self):
-        """Results are given up after their targets went to another owner.
+    def test_results_at_targets_of_another_owner_are_released(self):
+        """Results are released after their targets were handed over to another owner.
 
-        Held until they expire, they would keep that owner's calls out for seconds.
+        If they stayed until they expire, they would block that owner's calls for
+        seconds.
         """
         self.add_target("t3", "encode", 83, zone="b")
         self.start((8, 0))
@@ -448,8 +461,8 @@
         advance(0.1)
         self.assertEqual(self.calls.live, set())
 
-    def test_an_acknowledgement_tells_the_load(self):
-        """Guards against admission by loads as old as a round of heartbeats."""
+    def test_an_acknowledgement_carries_the_load(self):
+        """Guards against admission by loads that are a heartbeat interval old."""
         message = make_submission("r1")
         accepted = self.owner.submit(message, "other")
         self.assertEqual(accepted.load, self.owner.loads()["encode"])
@@ -457,20 +470,20 @@
         self.exchange._handle_acknowledgement(accepted, ("127.0.0.2", 7000))
         self.peers.record_load.assert_called_with("owner", "encode", accepted.load)
 
-    def test_targets_without_pieces_wake_nobody(self):
-        """Guards against timers of each target on each instance of a large fleet."""
+    def test_targets_without_pieces_cause_no_wakeups(self):
+        """Guards against a timer per target on each instance of a large fleet."""
         self.owner.open_queues()
         self.owner.hand_over()
-        looks = mock.Mock(return_value=[])
+        pop_batch = mock.Mock(return_value=[])
         queues = self.owner._queue_by_service.values()
         for queue in queues:
-            queue.queue.pop_batch = looks
+            queue.queue.pop_batch = pop_batch
         advance(10.0)
         self.assertEqual(len(queues), 2)
-        self.assertLessEqual(looks.call_count, len(queues) * 10)
+        self.assertLessEqual(pop_batch.call_count, len(queues) * 10)
 
-    def test_a_silent_owner_is_left_for_the_next_one(self):
-        """The owner of the queue dies just after the pieces were sent to it."""
+    def test_a_silent_owner_is_replaced_by_the_next_one(self):
+        """The owner of the queue dies just after it was sent the pieces."""
         self.peers.owners.return_value = ["other"]
         self.start()
         advance(0.1)
@@ -480,8 +493,8 @@
         self.peers.owners.return_value = ["me"]
         self.assertEqual(len(self.finish(1.5).handles), 3)
 
-    def test_inputs_that_a_dead_owner_used_up_are_made_again_at_once(self):
-        """Guards against a call of the successor only to learn that they are gone."""
+    def test_inputs_that_a_dead_owner_used_up_are_recomputed_at_once(self):
+        """Guards against a call by the successor only to learn that inputs are gone."""
         self.start()
         advance(0.1)
         self.peers.owners.return_value = ["other"]
--- a/tests/test_stage_plan.py
+++ b/tests/test_stage_plan.py
@@ -1,4 +1,4 @@
-"""When the stages of a request should run."""
+"""Tests for the plan of when the stages of a request run."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 def plan(pieces, *, drain=0.0):
-    """Plan with calls of 0.25 s everywhere."""
+    """Return a plan with calls of 0.25 s for all services."""
     return StagePlan(
         ROUTE,
         pieces,
@@ -31,30 +31,30 @@
 
 
 class StagePlanTest(unittest.TestCase):
-    """A chain of three stages beside a stage with a large result."""
+    """A chain of three stages in parallel with a stage that has a large result."""
 
-    def test_a_large_result_is_made_when_the_chain_is_about_to_end(self):
-        """The large result would be ready a second before it is needed.
+    def test_a_large_result_starts_when_the_chain_is_about_to_end(self):
+        """A large result would be ready a second before it is needed.
 
-        Targets have room for six of them; made at once they keep that room from
-        requests that could use it, and those are late.
+        Targets have memory for six of them. If started at once, such results occupy
+        memory that other requests need, and make those requests late.
         """
         found = plan((1, 1, 8, 16))
         self.assertTrue(found.should_wait(0, set(), 0.0))
         self.assertFalse(found.should_wait(1, set(), 0.0))
         self.assertFalse(found.should_wait(0, {1, 2}, 0.0))
 
-    def test_a_late_chain_keeps_its_large_result_back(self):
+    def test_a_late_chain_delays_its_large_result(self):
         """In a burst the first stage of a chain takes a second instead of 0.25 s.
 
-        Two stages are still to come. A large result made now would hold room for as
-        long as they take, and the requests that it keeps out are late.
+        Two stages are still to run. A large result that starts now would occupy memory
+        for as long as they take, and make other requests late.
         """
         found = plan((1, 1, 8, 16))
         self.assertTrue(found.should_wait(0, set(), 1.0))
         self.assertFalse(found.should_wait(0, {1, 2}, 1.0))
 
-    def test_without_a_chain_it_is_made_at_once(self):
+    def test_without_a_chain_a_large_result_starts_at_once(self):
         self.assertFalse(plan((2, 0, 0, 0)).should_wait(0, set(), 0.0))
 
     def test_times(self):
@@ -67,7 +67,7 @@
     def test_a_queue_drains_while_earlier_stages_run(self):
         self.assertAlmostEqual(plan((1, 1, 8, 16), drain=0.3).total_seconds(), 1.05)
 
-    def test_absent_stages_are_left_out(self):
+    def test_absent_stages_are_omitted(self):
         found = plan((0, 1))
         self.assertEqual(found.needed, [1])
         self.assertEqual(found.predecessors(1), [])
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -1,4 +1,4 @@
-"""Which pieces a stage target works on next, under the loads that matter."""
+"""Tests for the order of pieces in a stage queue under typical loads."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 def piece(request, number=0, **changes):
-    """Make a piece that is due in a second."""
+    """Return a piece that is due in a second."""
     values = {
         "key": PieceKey(request, 0, number),
         "urgency": 0,
@@ -34,13 +34,13 @@
     return QueuedPiece(**(values | changes))
 
 
-def requests(batch):
-    """Requests of a batch's pieces, each once, in order."""
-    return list(dict.fromkeys(taken.key.request for taken in batch))
+def request_ids(batch):
+    """Return the distinct requests of a batch's pieces in order."""
+    return list(dict.fromkeys(popped.key.request for popped in batch))
 
 
-class SuspectsApartTest(unittest.TestCase):
-    """Calls in which a request under which targets have ended would take part."""
+class IsolateSuspectsTest(unittest.TestCase):
+    """Calls that would contain a request under which targets have crashed."""
 
     @parameterized.expand(
         [
@@ -51,21 +51,23 @@
             ("two_suspects", "stts", "st", "ss", "tt"),
         ]
     )
-    def test_it_goes_alone(self, _, works, suspects, called, left):
-        """Guards against a fatal request that takes others' pieces with it."""
+    def test_a_suspect_is_called_alone(
+        self, _, fingerprints, suspects, called, waiting
+    ):
+        """Guards against a fatal request that crashes a call with pieces of others."""
         batch = [
             piece("r", number, fingerprint=fingerprint)
-            for number, fingerprint in enumerate(works)
+            for number, fingerprint in enumerate(fingerprints)
         ]
-        call, rest = isolate_suspects(
+        call, remaining = isolate_suspects(
             batch, lambda fingerprint: fingerprint in suspects
         )
         self.assertEqual("".join(p.fingerprint for p in call), called)
-        self.assertEqual("".join(p.fingerprint for p in rest), left)
+        self.assertEqual("".join(p.fingerprint for p in remaining), waiting)
 
 
 class RankTest(unittest.TestCase):
-    """Order of pieces of a single call with one place."""
+    """Order of pieces when a call holds a single piece."""
 
     @parameterized.expand(
         [
@@ -79,55 +81,55 @@
         queue = StageQueue(FOUR_A_CALL._replace(size=1))
         queue.add(second)
         queue.add(first)
-        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["a"])
+        self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["a"])
 
 
 class BurstTest(unittest.TestCase):
-    """Bursts of requests whose results nearly fill a target's room."""
+    """Bursts of requests whose results nearly fill a target's memory."""
 
-    def test_large_stages_are_begun_whole(self):
-        """Many requests with three large results each come at once.
+    def test_large_stages_are_started_completely(self):
+        """Many requests with three large results each arrive at once.
 
-        Were single pieces taken as they fit, two requests would each hold two results
-        and wait for the third; their callers would give up with nothing.
+        If single pieces were popped as they fit, two requests would each hold two
+        results and wait for the third until both callers disconnect.
         """
         queue = StageQueue(FOUR_A_CALL)
         for request in "abcdef":
             for number in range(3):
                 queue.add(piece(request, number, result_bytes=LARGE))
-        room = ResultMemory(18e6, 4.0)
+        memory = ResultMemory(18e6, 4.0)
         finished = set()
         held = {}
-        for turn in range(12):
-            moment = turn * 0.3
-            for taken in queue.pop_batch(moment, room.free_bytes(moment)):
-                held.setdefault(taken.key.request, set()).add(taken.key.number)
-                room.add(f"{taken.key}", LARGE, moment)
+        for step in range(12):
+            at = step * 0.3
+            for popped in queue.pop_batch(at, memory.free_bytes(at)):
+                held.setdefault(popped.key.request, set()).add(popped.key.number)
+                memory.add(f"{popped.key}", LARGE, at)
             for request, numbers in list(held.items()):
                 if len(numbers) == 3:
                     finished.add(request)
                     del held[request]
                     for number in range(3):
-                        room.release(f"{PieceKey(request, 0, number)}")
+                        memory.release(f"{PieceKey(request, 0, number)}")
             self.assertLessEqual(len(held), 1)
         self.assertEqual(finished, set("abcdef"))
 
-    def test_small_results_pass_what_has_no_room(self):
-        """A large stage waits for room while small ones behind it could run.
+    def test_small_results_overtake_results_without_memory(self):
+        """A large stage waits for memory while small ones behind it could run.
 
-        A call with nothing but what fits keeps the target busy.
+        A call with only the pieces that fit keeps the target busy.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(3):
             queue.add(piece("large", number, result_bytes=LARGE))
         queue.add(piece("small", urgency=2))
-        self.assertEqual(requests(queue.pop_batch(0.0, 6e6)), ["small"])
+        self.assertEqual(request_ids(queue.pop_batch(0.0, 6e6)), ["small"])
 
-    def test_large_results_leave_room_for_small_ones(self):
+    def test_large_results_leave_memory_for_small_ones(self):
         """Large results fill a target exactly, while chains wait for their first stage.
 
-        Small results take a thousandth of the room. Without any left they would wait
-        until the large ones are given up, and half of the call's places stay empty.
+        Small results take a thousandth of the memory. With none free they would wait
+        until the large ones are released, and half of the call's places stay empty.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(3):
@@ -137,18 +139,18 @@
         batch = queue.pop_batch(0.0, 2.0 * LARGE)
         self.assertEqual([p.result_bytes for p in batch], [LARGE, SMALL, SMALL, SMALL])
 
-    def test_a_result_that_fills_a_target_is_made_beside_small_ones(self):
-        """A result takes all of a target's room, and small ones wait all the time."""
+    def test_a_result_that_fills_a_target_is_not_starved(self):
+        """A result takes all of a target's memory, and small ones wait all the time."""
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=18_000_000))
         queue.add(piece("small", urgency=1))
-        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["large"])
+        self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["large"])
 
-    def test_a_call_waits_for_room_rather_than_go_nearly_empty(self):
-        """The results of the call before are about to be given up.
+    def test_a_call_waits_for_memory_if_nearly_empty(self):
+        """The results of the previous call are about to be released.
 
-        A call costs as much as five pieces; one that carries a single piece of the
-        many that wait halves what the target does in a burst.
+        A call costs as much as five pieces. A call with a single one of many waiting
+        pieces halves the throughput of the target in a burst.
         """
         queue = StageQueue(FOUR_A_CALL)
         for request in "abcdef":
@@ -157,25 +159,25 @@
         self.assertEqual(len(queue.pop_batch(0.0, 4e6)), 1)
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, may_wait=True)), 4)
 
-    def test_what_cannot_be_done_in_time_is_taken_out(self):
+    def test_pieces_that_cannot_finish_in_time_are_removed(self):
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a", expires_at=0.1))
         queue.add(piece("b", expires_at=1.0))
-        self.assertEqual(requests(queue.pop_expired(0.0)), ["a"])
-        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["b"])
+        self.assertEqual(request_ids(queue.pop_expired(0.0)), ["a"])
+        self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["b"])
 
-    def test_cancelled_requests_leave(self):
+    def test_pieces_of_cancelled_requests_are_removed(self):
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a"))
         queue.add(piece("b"))
         queue.cancel("a")
-        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["b"])
+        self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["b"])
 
-    def test_a_begun_stage_that_is_cancelled_promises_no_room(self):
-        """A caller leaves after a part of its stage was taken.
+    def test_a_cancelled_stage_reserves_no_memory(self):
+        """A caller disconnects after some pieces of its stage were popped.
 
-        What is left of it is gone; an owner that still counted on it would stop calling
-        its targets.
+        The remaining pieces are gone. An owner that kept memory reserved for them would
+        stop calling its targets.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(6):
@@ -183,20 +185,20 @@
         self.assertEqual(len(queue.pop_batch(0.0, 18e6)), 4)
         queue.cancel("a")
         queue.add(piece("b", result_bytes=LARGE))
-        self.assertEqual(requests(queue.pop_batch(0.3, 6e6)), ["b"])
+        self.assertEqual(request_ids(queue.pop_batch(0.3, 6e6)), ["b"])
 
-    def test_pieces_of_another_round_are_other_pieces(self):
-        """A result was lost and its stage is begun anew while old pieces wait.
+    def test_pieces_of_another_round_are_distinct(self):
+        """A result was lost and its stage restarts while old pieces wait.
 
-        Taking an old piece for the new one would hand out a result that was given up,
-        and the request would fail once more.
+        If an old piece were taken for a new one, the request would get a released
+        result and fail once more.
         """
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("a"))
         queue.add(piece("a", key=PieceKey("a", 0, 0, 1)))
         self.assertEqual(len(queue), 2)
 
-    def test_drain_counts_urgencies_apart(self):
+    def test_drain_distinguishes_urgencies(self):
         queue = StageQueue(FOUR_A_CALL)
         for number in range(8):
             queue.add(piece("a", number, urgency=2))
@@ -205,43 +207,45 @@
         self.assertAlmostEqual(drains[place(2, has_started=True)], 0.1)
         self.assertGreater(drains[place(2, has_started=False)], 0.5)
 
-    def test_begun_requests_are_not_overtaken_for_ever(self):
-        """A chat waits for its second stage while summaries keep coming to it.
+    def test_started_requests_are_not_starved(self):
+        """A chat waits for its second stage while summaries keep arriving there.
 
-        Summaries are more urgent. Did each of them go ahead, the chat would hold the
-        result of its first stage until it expires, and all work for it would be lost.
+        Summaries are more urgent. If each of them went first, the result of the chat's
+        first stage would expire, and all work for the chat would be lost.
         """
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("chat", urgency=2, has_started=True, objective_at=1.0))
         for number in range(8):
-            due = 1.2 + 0.1 * number
+            objective_at = 1.2 + 0.1 * number
             queue.add(
-                piece(f"s{number}", urgency=1, has_started=True, objective_at=due)
+                piece(
+                    f"s{number}", urgency=1, has_started=True, objective_at=objective_at
+                )
             )
-        taken = requests(queue.pop_batch(0.0, 18e6))
-        self.assertIn("chat", taken)
-        self.assertEqual(taken[0], "s0")
+        popped = request_ids(queue.pop_batch(0.0, 18e6))
+        self.assertIn("chat", popped)
+        self.assertEqual(popped[0], "s0")
 
     def test_drain_follows_the_order_of_pieces(self):
-        """Begun and fresh requests wait for the same stage.
+        """Started and new requests wait for the same stage.
 
-        Told the same wait, fresh ones would be admitted in front of a queue that goes
-        before them, and end late.
+        With the same forecast, new ones would be admitted although the queue goes
+        before them, and finish late.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(4):
             queue.add(piece("begun", number, urgency=2, has_started=True))
             queue.add(piece("fresh", number, urgency=0))
         drains = queue.drains(1, 0.0, 1.0)
-        begun = drains[place(2, has_started=True)]
-        self.assertAlmostEqual(drains[place(0, has_started=False)], 2 * begun)
-        self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["begun"])
+        started = drains[place(2, has_started=True)]
+        self.assertAlmostEqual(drains[place(0, has_started=False)], 2 * started)
+        self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["begun"])
 
-    def test_late_newcomers_leave_a_long_queue(self):
-        """A burst leaves requests behind that were due before they began.
+    def test_late_new_requests_are_removed_from_a_long_queue(self):
+        """A burst leaves requests in the queue that were due before they started.
 
-        Those that can still be on time go ahead of them; they would wait until their
-        callers give up, instead of being told to come back.
+        Requests that can still be on time go first. The late ones would wait until
+        their callers disconnect, instead of being asked to retry.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(12):
@@ -249,28 +253,28 @@
         queue.add(piece("late", objective_at=1.0))
         queue.add(piece("begun", objective_at=1.0, has_started=True, expires_at=9.0))
         self.assertEqual(queue.pop_expired(1.2), [])
-        self.assertEqual(requests(queue.pop_expired(1.4)), ["late"])
+        self.assertEqual(request_ids(queue.pop_expired(1.4)), ["late"])
 
 
 class SharedQueueTest(unittest.TestCase):
-    """One queue for targets in several zones."""
+    """A queue that is shared by targets in several zones."""
 
     def test_large_results_stay_in_their_zone_while_there_is_time(self):
         """A free target in another zone could take a piece at once.
 
-        Its result, of megabytes, would then cross zones. Small results may be made
-        anywhere: their move costs less than the wait.
+        Its result, of megabytes, would then cross zones. Pieces with small results may
+        run anywhere: moving the result costs less than the wait.
         """
         busy = OtherTarget("a", free_in=0.2, free_bytes=18e6)
         queue = StageQueue(FOUR_A_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         queue.add(piece("small", zone="a", zone_bytes=SMALL))
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[busy])
-        self.assertEqual(requests(batch), ["small"])
+        self.assertEqual(request_ids(batch), ["small"])
         batch = queue.pop_batch(0.6, 18e6, zone="b", others=[busy])
-        self.assertEqual(requests(batch), ["large"])
+        self.assertEqual(request_ids(batch), ["large"])
 
-    def test_pieces_are_done_where_their_inputs_are(self):
+    def test_pieces_run_where_their_inputs_are(self):
         """Sixteen pieces each fetch eight results of another zone.
 
         Their results are small, but 8 MB would cross zones for one request.
@@ -280,13 +284,13 @@
         queue.add(piece("a", has_started=True, zone="a", zone_bytes=480_000))
         self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[free]), [])
         batch = queue.pop_batch(0.0, 18e6, zone="a")
-        self.assertEqual(requests(batch), ["a"])
+        self.assertEqual(request_ids(batch), ["a"])
 
-    def test_the_rest_of_a_stage_stays_where_it_was_begun(self):
+    def test_the_remainder_of_a_stage_stays_in_its_zone(self):
         """A call takes four of a stage's six pieces.
 
-        Done in another zone, the other two would have the next stage fetch its inputs
-        from two zones.
+        If the other two ran in another zone, the next stage would fetch its inputs from
+        two zones.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(6):
@@ -302,13 +306,13 @@
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         other = OtherTarget("c", free_in=0.0, free_bytes=18e6)
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[other])
-        self.assertEqual(requests(batch), ["large"])
+        self.assertEqual(request_ids(batch), ["large"])
 
     def test_a_stage_that_fits_no_single_target_is_spread(self):
-        """A request has eight large results, and a target has room for six.
+        """A request has eight large results, and a target has memory for six.
 
-        Were a stage begun only if one target held all of it, such requests would wait
-        until their callers leave.
+        If a stage started only when one target could hold all of it, such requests
+        would wait until their callers disconnect.
         """
         queue = StageQueue(FOUR_A_CALL)
         for number in range(8):
@@ -318,11 +322,11 @@
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, others=[other])), 4)
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, others=[])), 4)
 
-    def test_room_promised_to_a_begun_stage_is_not_given_to_another(self):
-        """Two requests have eight large results each, the targets room for twelve.
+    def test_memory_reserved_for_a_stage_is_not_given_to_another(self):
+        """Two requests have eight large results each, the targets memory for twelve.
 
-        Begun together, each would hold a part and wait for what only the other gives
-        up.
+        If both started, each would hold some results and wait for memory that only the
+        other one releases.
         """
         queue = StageQueue(FOUR_A_CALL)
         for request in "ab":
@@ -330,6 +334,6 @@
                 queue.add(piece(request, number, result_bytes=LARGE))
         other = OtherTarget("b", free_in=0.2, free_bytes=18e6)
         first = queue.pop_batch(0.0, 18e6, others=[other])
-        left = OtherTarget("a", free_in=0.2, free_bytes=6e6)
-        second = queue.pop_batch(0.0, 18e6, zone="b", others=[left])
-        self.assertEqual(requests([*first, *second]), ["a"])
+        filled = OtherTarget("a", free_in=0.2, free_bytes=6e6)
+        second = queue.pop_batch(0.0, 18e6, zone="b", others=[filled])
+        self.assertEqual(request_ids([*first, *second]), ["a"])
