--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for the cause of a target's end."""
+"""Tests for the attribution of target crashes to requests."""
 
 import unittest
 
@@ -22,21 +22,21 @@
 
 
 class SuspectsTest(unittest.TestCase):
-    """One instance's judgement."""
+    """Crash attribution at one instance."""
 
     def setUp(self):
         use_paused_clock()
-        self.releases = {("generate", "v1")}
+        self.software_versions = {("generate", "v1")}
         self.suspects = self.make(Policy())
 
     def make(self, policy):
         return Suspects(
-            Gossip(), lambda facts: None, lambda: self.releases, SILENT, policy
+            Gossip(), lambda facts: None, lambda: self.software_versions, SILENT, policy
         )
 
-    def end(self, *numbers, works=("w",), software="v1"):
+    def crash(self, *numbers, fingerprints=("w",), software="v1"):
         for number in numbers:
-            self.suspects.record_crash(target(number, software), works)
+            self.suspects.record_crash(target(number, software), fingerprints)
 
     @parameterized.expand(
         [
@@ -46,54 +46,56 @@
             ("three", [1, 2, 3], True),
         ]
     )
-    def test_three_ends_hold_a_request_back(self, _, numbers, is_held_back):
-        self.end(*numbers)
-        self.assertEqual(self.suspects.is_quarantined("w"), is_held_back)
+    def test_three_crashes_quarantine_a_request(self, _, numbers, is_quarantined):
+        self.crash(*numbers)
+        self.assertEqual(self.suspects.is_quarantined("w"), is_quarantined)
         self.assertEqual(self.suspects.is_suspect("w"), bool(numbers))
 
-    def test_those_beside_it_are_not_held_back(self):
-        """Guards against a request that was near three ends of another one's making."""
-        self.end(1, works=("w", "a", "b"))
-        self.end(2, works=("w", "a"))
-        self.end(3, works=("w", "b"))
-        self.end(4, works=("w", "a"))
+    def test_requests_beside_a_fatal_one_are_not_quarantined(self):
+        """Guards against quarantine for three crashes that another request causes."""
+        self.crash(1, fingerprints=("w", "a", "b"))
+        self.crash(2, fingerprints=("w", "a"))
+        self.crash(3, fingerprints=("w", "b"))
+        self.crash(4, fingerprints=("w", "a"))
         self.assertEqual(self.suspects.quarantined(), ["w"])
         self.assertFalse(self.suspects.is_suspect("a"))
 
     @parameterized.expand([("before", True), ("after", False)])
-    def test_a_request_that_ran_whole_is_not_held_back(self, _, is_before):
-        """Guards against a popular request beside three targets that were killed."""
-        if is_before:
+    def test_a_successful_request_is_not_quarantined(self, _, is_cleared_first):
+        """Guards against quarantine of a popular request when three targets die."""
+        if is_cleared_first:
             self.suspects.record_success(target(9), "w")
-        self.end(1, 2, 3)
-        if not is_before:
+        self.crash(1, 2, 3)
+        if not is_cleared_first:
             self.suspects.record_success(target(9), "w")
         self.assertFalse(self.suspects.is_quarantined("w"))
         self.assertFalse(self.suspects.is_suspect("w"))
 
-    def test_running_whole_on_older_software_proves_nothing(self):
+    def test_success_on_older_software_does_not_clear(self):
         self.suspects.record_success(target(9, "v0"), "w")
-        self.end(1, 2, 3)
+        self.crash(1, 2, 3)
         self.assertTrue(self.suspects.is_quarantined("w"))
 
-    def test_a_release_gives_it_one_more_chance(self):
-        self.end(1, 2, 3)
-        self.releases.add(("generate", "v2"))
+    def test_new_software_allows_one_more_crash(self):
+        self.crash(1, 2, 3)
+        self.software_versions.add(("generate", "v2"))
         self.assertTrue(self.suspects.is_quarantined("w"))
-        self.releases.remove(("generate", "v1"))
+        self.software_versions.remove(("generate", "v1"))
         self.assertFalse(self.suspects.is_quarantined("w"))
-        self.end(4, software="v2")
+        self.crash(4, software="v2")
         self.assertTrue(self.suspects.is_quarantined("w"))
 
-    def test_it_stays_held_back_while_no_target_is_left(self):
-        """Guards against a request that took all targets with it and is let go."""
-        self.end(1, 2, 3)
-        self.releases.clear()
+    def test_quarantine_lasts_while_there_is_no_target(self):
+        """Guards against the release of a request that has crashed all targets."""
+        self.crash(1, 2, 3)
+        self.software_versions.clear()
         self.assertTrue(self.suspects.is_quarantined("w"))
 
-    def test_it_is_released_after_a_day(self):
+    def test_quarantine_ends_after_a_day(self):
         gossip = Gossip()
-        suspects = Suspects(gossip, lambda _: None, lambda: self.releases, SILENT)
+        suspects = Suspects(
+            gossip, lambda _: None, lambda: self.software_versions, SILENT
+        )
         for number in (1, 2, 3):
             suspects.record_crash(target(number), ["w"])
         advance(DAY_S - 1.0)
@@ -103,34 +105,34 @@
         gossip.drop_expired()
         self.assertFalse(suspects.is_suspect("w"))
 
-    def test_ten_thousand_others_do_not_push_it_out(self):
-        """Guards against a flood of requests that each ends one target."""
-        self.end(1, 2, 3)
+    def test_ten_thousand_other_crashes_do_not_evict_it(self):
+        """Guards against eviction by a flood of requests that each crash one target."""
+        self.crash(1, 2, 3)
         for number in range(4, 10_000):
-            self.end(number, works=(f"w{number}",))
+            self.crash(number, fingerprints=(f"w{number}",))
         self.assertEqual(self.suspects.quarantined(), ["w"])
         self.assertLessEqual(len(self.suspects), 2_000)
 
-    def test_a_setting_switches_it_off(self):
+    def test_the_mechanism_can_be_switched_off(self):
         self.suspects = self.make(Policy(frozenset((Mechanism.FATAL_REQUESTS,))))
-        self.end(1, 2, 3)
+        self.crash(1, 2, 3)
         self.assertFalse(self.suspects.is_quarantined("w"))
 
 
-class SetApartTest(unittest.TestCase):
-    """Where a request goes under which a target has ended."""
+class IsolateEngineTest(unittest.TestCase):
+    """The engine of a request under which a target has crashed."""
 
     ENGINES = tuple(
         EngineView(f"e{n}", "a", 64, running=n, tokens_ahead=0, has_cached_prefix=False)
         for n in range(8)
     )
 
-    def test_where_little_runs(self):
+    def test_an_engine_with_few_running_requests_is_chosen(self):
         for number in range(20):
             (engine,) = isolate_engine(self.ENGINES, f"w{number}")
             self.assertLess(engine.running, 4)
 
-    def test_not_all_to_the_same_engine(self):
+    def test_suspects_are_spread_over_engines(self):
         chosen = {isolate_engine(self.ENGINES, f"w{n}")[0].id for n in range(20)}
         self.assertGreater(len(chosen), 2)
 
--- a/tests/test_target_crashes.py
+++ b/tests/test_target_crashes.py
@@ -1,4 +1,4 @@
-"""Which broken connections are taken for the end of a target."""
+"""Tests for telling target crashes from other lost connections."""
 
 import unittest
 from unittest import mock
@@ -15,8 +15,8 @@
 TARGET = Target("t1", "generate", Address("10.0.0.1", 80), "a", 64)
 
 
-class TargetEndsTest(unittest.TestCase):
-    """One request that was broken off."""
+class TargetCrashesTest(unittest.TestCase):
+    """One request whose connection was lost."""
 
     def setUp(self):
         use_paused_clock()
@@ -25,12 +25,12 @@
         self.view.has_incarnation.return_value = True
         self.pool = mock.Mock()
         self.suspects = mock.Mock()
-        self.ends = TargetCrashes(self.pool, self.view, self.suspects)
-        ((self.note_view,), _) = self.view.subscribe.call_args
+        self.crashes = TargetCrashes(self.pool, self.view, self.suspects)
+        ((self.on_view_change,), _) = self.view.subscribe.call_args
 
     def fail(self, reason="closed", *, is_refused=False):
         self.pool.is_refused.return_value = is_refused
-        self.ends.record_failure(TARGET, ["w"], reason)
+        self.crashes.record_failure(TARGET, ["w"], reason)
 
     @parameterized.expand(
         [
@@ -42,36 +42,38 @@
             ("another_answer", "crossed", True, 0),
         ]
     )
-    def test_what_counts(self, _, reason, is_refused, ends):
+    def test_lost_connections_that_count_as_crashes(
+        self, _, reason, is_refused, crashes
+    ):
         self.fail(reason, is_refused=is_refused)
-        self.assertEqual(self.suspects.record_crash.call_count, ends)
+        self.assertEqual(self.suspects.record_crash.call_count, crashes)
 
     def test_a_target_that_gave_notice_has_not_crashed(self):
-        """Guards against suspicion where targets are replaced."""
+        """Guards against crashes recorded when targets are replaced."""
         self.view.is_leaving.return_value = True
         self.fail(is_refused=True)
         self.suspects.record_crash.assert_not_called()
 
     @parameterized.expand([("soon", 1.0, 1), ("much_later", 11.0, 0)])
-    def test_a_target_that_is_back_at_once_has_ended_too(self, _, after, ends):
-        """Guards against ends that go unseen as the next life listens already."""
+    def test_a_target_that_restarts_at_once_has_crashed(self, _, after, crashes):
+        """Guards against missed crashes where the next incarnation already listens."""
         self.fail()
         advance(after)
         self.view.has_incarnation.return_value = False
-        self.note_view()
-        self.assertEqual(self.suspects.record_crash.call_count, ends)
+        self.on_view_change()
+        self.assertEqual(self.suspects.record_crash.call_count, crashes)
 
     def test_a_target_that_leaves_after_a_notice_is_forgotten(self):
         self.fail()
         self.view.is_leaving.return_value = True
-        self.note_view()
+        self.on_view_change()
         self.view.has_incarnation.return_value = False
-        self.note_view()
+        self.on_view_change()
         self.suspects.record_crash.assert_not_called()
 
 
 class RefusedTest(unittest.TestCase):
-    """Whether anybody listens at an address."""
+    """Detection of addresses at which no process listens."""
 
     def setUp(self):
         use_running_clock()
@@ -80,23 +82,23 @@
         self.address = Address(*self.listener.getsockname())
         self.pool = ConnectionPool()
 
-    def test_nobody(self):
+    def test_no_listener(self):
         self.listener.close()
         self.assertTrue(self.pool.is_refused(self.address))
 
-    def test_somebody(self):
+    def test_a_listener(self):
         self.assertFalse(self.pool.is_refused(self.address))
         self.pool.acquire(self.address)
         self.assertEqual(self.pool.opened, 1, "the connection is kept for a request")
 
-    def test_nobody_answers(self):
-        """Guards against taking a machine that is cut off for one that has ended."""
-        nowhere = Address("127.0.0.1", self.address.port)
+    def test_a_silent_machine_is_not_refused(self):
+        """Guards against a crash recorded for a machine that is cut off."""
+        silent = Address("127.0.0.1", self.address.port)
         with mock.patch(
-            "bergamotsaddle_serving.client.Connection", side_effect=_silence
+            "bergamotsaddle_serving.client.Connection", side_effect=_time_out
         ):
-            self.assertFalse(self.pool.is_refused(nowhere))
+            self.assertFalse(self.pool.is_refused(silent))
 
 
-def _silence(address, *, limit):
+def _time_out(address, *, limit):
     raise ConnectionLostError("connect", is_unsent=True)
--- a/tests/test_target_totals.py
+++ b/tests/test_target_totals.py
@@ -1,4 +1,4 @@
-"""What instances know of engines that others use as well."""
+"""Tests for the totals of what instances report about shared engines."""
 
 import unittest
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 LONG_PROMPT_TOKENS = 13_000
 
 
-class Told(NamedTuple):
-    """What one instance tells in a heartbeat."""
+class ReportedLoad(NamedTuple):
+    """The load that one instance reports in a heartbeat."""
 
     running: dict[str, int]
     prefill_tokens: dict[str, int]
 
 
 def choose(totals):
-    """Choose an engine with what others told."""
+    """Return the engine that is chosen with the totals of other instances."""
     views = [
         EngineView(
             name,
@@ -37,22 +37,25 @@
     ).engine.id
 
 
-class SharedReadingTest(unittest.TestCase):
-    """Bursts about few subjects that come in at all instances."""
+class SharedPrefillTest(unittest.TestCase):
+    """Bursts on few subjects that arrive at all instances."""
 
-    def test_an_engine_that_others_keep_reading_is_left(self):
+    def test_an_engine_with_prefill_of_other_instances_is_avoided(self):
         """Six instances each send two long prompts to one engine.
 
-        Each sees its own two only. A seventh would send its request behind all twelve,
-        and the first event would come seconds too late while other engines rest.
+        Each instance knows only its own two. A seventh would queue its request behind
+        all twelve, and the first event would be seconds late while other engines idle.
         """
-        home = choose(TargetTotals())
-        told = Told({home: 2}, {home: 2 * LONG_PROMPT_TOKENS})
-        self.assertNotEqual(choose(TargetTotals([told] * 6)), home)
+        preferred = choose(TargetTotals())
+        reported = ReportedLoad({preferred: 2}, {preferred: 2 * LONG_PROMPT_TOKENS})
+        self.assertNotEqual(choose(TargetTotals([reported] * 6)), preferred)
 
     def test_sums(self):
-        told = [Told({"e1": 2}, {"e1": 500}), Told({"e1": 1, "e2": 4}, {})]
-        totals = TargetTotals(told)
+        reported = [
+            ReportedLoad({"e1": 2}, {"e1": 500}),
+            ReportedLoad({"e1": 1, "e2": 4}, {}),
+        ]
+        totals = TargetTotals(reported)
         self.assertEqual(totals.running, {"e1": 3, "e2": 4})
         self.assertEqual(totals.prefill_tokens["e1"], 500)
         self.assertEqual(totals.prefill_tokens["e2"], 0)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Requests that must not be repeated: at most once, and a true "not run"."""
+"""Tests for tickets: requests run at most once, and "not run" is always true."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 def booking(number: int = 1, remaining: float = 4.0) -> ServiceRequest:
-    """A booking."""
+    """Return a booking request."""
     body = f'{{"load":{number}}}'.encode()
     return ServiceRequest("r1", "crews", "orders", "book", body, remaining)
 
@@ -29,223 +29,226 @@
     """One ticket issued by a1, with b1 and c1 as its witness and another instance."""
 
     def setUp(self):
-        self.world = FakeFleet()
-        self.addCleanup(self.world.close)
-        self.world.start()
-        self.issuer = self.world.daemons["a1"]
+        self.fleet = FakeFleet()
+        self.addCleanup(self.fleet.close)
+        self.fleet.start()
+        self.issuer = self.fleet.daemons["a1"]
         _, self.ticket = self.issuer.tickets.issue("crews", "orders")
         names = {"a1", "b1", "c1"} - {"a1", self.ticket.witness}
-        self.other = self.world.daemons[names.pop()]
-        self.witness = self.world.daemons[self.ticket.witness]
+        self.other = self.fleet.daemons[names.pop()]
+        self.witness = self.fleet.daemons[self.ticket.witness]
 
     def runs(self) -> int:
-        return len(self.world.calls("orders"))
+        return len(self.fleet.calls("orders"))
 
-    def ask(self, daemon, request=None):
-        """Ask and let the time pass that the request may take."""
-        asked = run_green(lambda: daemon.tickets.run(self.ticket, request or booking()))
+    def run_ticket(self, daemon, request=None):
+        """Run the ticket at a daemon, let time pass and return the outcome."""
+        pending = run_green(
+            lambda: daemon.tickets.run(self.ticket, request or booking())
+        )
         advance(6.0)
-        return asked.value
+        return pending.value
 
 
 class TicketTest(TicketCase):
-    """What holds whatever is killed, cut or paused."""
+    """Outcomes when instances are killed, cut off or paused."""
 
     def test_witness_is_in_another_zone(self):
         self.assertNotEqual(self.witness.settings.daemon.zone, "a")
 
     @params("issuer", "other", "witness")
-    def test_asked_twice_runs_once(self, second):
-        # A skipper's phone loses the answer and asks again; the balancer sends it to
-        # another instance. A second run would load the barge twice.
-        self.assertEqual(self.ask(self.issuer).state, FINISHED)
-        self.assertEqual(self.ask(getattr(self, second)).state, FINISHED)
+    def test_a_repeated_request_runs_once(self, second):
+        # A skipper's phone loses the response and retries; the load balancer sends the
+        # retry to another instance. A second run would load the barge twice.
+        self.assertEqual(self.run_ticket(self.issuer).state, FINISHED)
+        self.assertEqual(self.run_ticket(getattr(self, second)).state, FINISHED)
         self.assertEqual(self.runs(), 1)
 
-    def test_asked_at_once_everywhere_runs_once(self):
-        # An impatient caller asks three instances at the same moment.
-        for target in self.world.targets.values():
+    def test_concurrent_requests_at_all_instances_run_once(self):
+        # An impatient caller sends the request to three instances at the same time.
+        for target in self.fleet.targets.values():
             target.seconds = 1.0
-        asked = [
+        pending = [
             run_green(lambda d=daemon: d.tickets.run(self.ticket, booking()))
-            for daemon in self.world.daemons.values()
+            for daemon in self.fleet.daemons.values()
         ]
         advance(6.0)
-        self.assertEqual([a.value.state for a in asked], [FINISHED] * 3)
+        self.assertEqual([a.value.state for a in pending], [FINISHED] * 3)
         self.assertEqual(self.runs(), 1)
 
-    def test_other_body_is_refused(self):
-        self.ask(self.issuer)
-        self.assertEqual(self.ask(self.other, booking(2)).state, "reused")
+    def test_another_body_is_rejected(self):
+        self.run_ticket(self.issuer)
+        self.assertEqual(self.run_ticket(self.other, booking(2)).state, "reused")
         self.assertEqual(self.runs(), 1)
 
-    def test_issuer_dies_unused(self):
+    def test_issuer_dies_before_the_ticket_is_used(self):
         # The issuer is killed before the ticket is used. The caller gets a final
-        # "not run" elsewhere and may book anew.
-        self.world.kill("a1")
-        self.assertEqual(self.ask(self.other).state, NOT_RUN)
+        # "not run" from another instance and may book again.
+        self.fleet.kill("a1")
+        self.assertEqual(self.run_ticket(self.other).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
-    def test_issuer_dies_after_the_answer(self):
-        # The answer was lost on its way to the caller, then the issuer was killed.
-        # The witness still has it.
-        self.ask(self.issuer)
-        self.world.kill("a1")
-        self.assertEqual(self.ask(self.other).state, FINISHED)
+    def test_issuer_dies_after_the_response(self):
+        # The response was lost on its way to the caller, then the issuer was killed.
+        # The witness still has the outcome.
+        self.run_ticket(self.issuer)
+        self.fleet.kill("a1")
+        self.assertEqual(self.run_ticket(self.other).state, FINISHED)
         self.assertEqual(self.runs(), 1)
 
     def test_issuer_dies_while_running(self):
-        # Nobody can know whether the order went through, so nobody says "not run".
-        for target in self.world.targets.values():
+        # No instance can know whether the order ran, so none may report "not run".
+        for target in self.fleet.targets.values():
             target.seconds = 60.0
         run_green(lambda: self.issuer.tickets.run(self.ticket, booking()))
         advance(0.5)
-        self.world.kill("a1")
-        self.assertEqual(self.ask(self.other).state, UNKNOWN)
+        self.fleet.kill("a1")
+        self.assertEqual(self.run_ticket(self.other).state, UNKNOWN)
 
     def test_issuer_and_witness_gone(self):
-        self.world.kill("a1")
-        self.world.kill(self.witness.settings.daemon.id)
-        self.assertEqual(self.ask(self.other).state, UNKNOWN)
+        self.fleet.kill("a1")
+        self.fleet.kill(self.witness.settings.daemon.id)
+        self.assertEqual(self.run_ticket(self.other).state, UNKNOWN)
 
-    def test_replaced_witness_knows_nothing(self):
-        # The witness was replaced; its successor has no record, which must not pass
-        # for "not started".
+    def test_a_replaced_witness_has_no_record(self):
+        # The witness was replaced. Its successor has no record, which must not be
+        # interpreted as "not started".
         name = self.witness.settings.daemon.id
-        self.ask(self.issuer)
-        self.world.kill("a1")
-        self.world.kill(name)
-        self.world.add_daemon(name, self.witness.settings.daemon.zone).spawn()
-        self.world.publish_list()
+        self.run_ticket(self.issuer)
+        self.fleet.kill("a1")
+        self.fleet.kill(name)
+        self.fleet.add_daemon(name, self.witness.settings.daemon.zone).spawn()
+        self.fleet.publish_list()
         advance(3.0)
-        self.assertEqual(self.ask(self.other).state, UNKNOWN)
-
-    def test_paused_issuer_wakes_after_the_caller_was_told(self):
-        # The issuer is cut off while it asks its witness. The caller gives up, asks
-        # elsewhere and is told "not run". When the issuer is heard again its start
-        # must be refused.
-        everyone = ["b1", "c1"]
-        self.world.network.separate(["a1"], everyone)
+        self.assertEqual(self.run_ticket(self.other).state, UNKNOWN)
+
+    def test_a_cut_off_issuer_returns_after_not_run_was_reported(self):
+        # The issuer is cut off while it queries its witness. The caller times out and
+        # gets "not run" from another instance. When the issuer is reachable again its
+        # start must be rejected.
+        others = ["b1", "c1"]
+        self.fleet.network.separate(["a1"], others)
         advance(3.0)
-        self.assertEqual(self.ask(self.other).state, NOT_RUN)
-        self.world.network.heal()
+        self.assertEqual(self.run_ticket(self.other).state, NOT_RUN)
+        self.fleet.network.heal()
         advance(3.0)
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
     def test_pause_between_record_and_send(self):
-        # The process is paused after its witness took note and wakes up long after
-        # the ticket's time; sending then could meet a second booking.
+        # The process is paused after its witness recorded the start and resumes long
+        # after the ticket expired. Sending then could run beside a second booking.
         connections = self.issuer.callers._services._connections
         connections.before_guard = lambda: freeze(60.0)
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
-        self.assertEqual(self.ask(self.other).state, NOT_RUN)
+        self.assertEqual(self.run_ticket(self.other).state, NOT_RUN)
 
-    def test_no_acknowledgement_no_run(self):
-        # The witness took note but its answer was lost. Sending anyway would be
-        # right this time and wrong when the note was lost too.
-        self.world.network.lose_answers.add(StartRecord)
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+    def test_without_an_acknowledgement_nothing_runs(self):
+        # The witness recorded the start but its response was lost. Sending anyway would
+        # be right in this case, and wrong when the record was lost too.
+        self.fleet.network.lose_answers.add(StartRecord)
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
-    def test_lost_answer_of_the_target(self):
-        # The orders service took the order and the connection broke. The request is
-        # not sent again and nobody claims that it did not run.
-        def lose(call):
+    def test_lost_response_of_the_target(self):
+        # The orders service received the order and the connection broke. The request is
+        # not sent again, and no instance reports that it did not run.
+        def lose_response(call):
             raise TargetError("exchange: reset", sent=True)
 
-        for target in self.world.targets.values():
-            target.handle = lose
-        self.assertEqual(self.ask(self.issuer).state, UNKNOWN)
-        self.assertEqual(self.ask(self.other).state, UNKNOWN)
+        for target in self.fleet.targets.values():
+            target.handle = lose_response
+        self.assertEqual(self.run_ticket(self.issuer).state, UNKNOWN)
+        self.assertEqual(self.run_ticket(self.other).state, UNKNOWN)
         self.assertEqual(self.runs(), 1)
 
-    def test_unreachable_targets_are_passed_over(self):
+    def test_unreachable_targets_are_skipped(self):
         for zone in ("a", "b"):
-            self.world.targets[f"orders-{zone}"].refuses_connections = True
-        self.assertEqual(self.ask(self.issuer).state, FINISHED)
-        self.assertEqual(len(self.world.targets["orders-c"].calls), 1)
+            self.fleet.targets[f"orders-{zone}"].refuses_connections = True
+        self.assertEqual(self.run_ticket(self.issuer).state, FINISHED)
+        self.assertEqual(len(self.fleet.targets["orders-c"].calls), 1)
 
     def test_no_target_can_be_reached(self):
         for zone in "abc":
-            self.world.targets[f"orders-{zone}"].refuses_connections = True
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+            self.fleet.targets[f"orders-{zone}"].refuses_connections = True
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
-    def test_promised_refusal_is_not_run(self):
-        world = FakeFleet(target_lines="not_run_statuses = 503")
-        self.addCleanup(world.close)
-        world.start()
-        for target in world.targets.values():
+    def test_a_declared_not_run_status_is_not_run(self):
+        fleet = FakeFleet(target_lines="not_run_statuses = 503")
+        self.addCleanup(fleet.close)
+        fleet.start()
+        for target in fleet.targets.values():
             target.handle = lambda call: Reply(503, b"{}")
-        daemon = world.daemons["a1"]
+        daemon = fleet.daemons["a1"]
         _, ticket = daemon.tickets.issue("crews", "orders")
-        asked = run_green(lambda: daemon.tickets.run(ticket, booking()))
+        pending = run_green(lambda: daemon.tickets.run(ticket, booking()))
         advance(6.0)
-        self.assertEqual(asked.value.state, NOT_RUN)
+        self.assertEqual(pending.value.state, NOT_RUN)
 
     def test_expired_ticket(self):
         advance(31.0)
-        outcome = self.ask(self.issuer)
+        outcome = self.run_ticket(self.issuer)
         self.assertEqual(outcome.state, NOT_RUN)
         self.assertIn("expired", outcome.detail)
         self.assertEqual(self.runs(), 0)
 
-    def test_ticket_older_than_the_memory(self):
-        # After ten minutes issuer and witness have forgotten the booking; having no
-        # record must not pass for "not run".
-        self.ask(self.issuer)
+    def test_a_ticket_older_than_the_records(self):
+        # After ten minutes issuer and witness have dropped their records of the
+        # booking. A missing record must not be interpreted as "not run".
+        self.run_ticket(self.issuer)
         freeze(601.0)
         advance(3.0)
         for daemon in (self.issuer, self.other, self.witness):
-            self.assertEqual(self.ask(daemon).state, UNKNOWN)
+            self.assertEqual(self.run_ticket(daemon).state, UNKNOWN)
         self.assertEqual(self.runs(), 1)
 
-    def test_late_copy_of_a_start_after_the_memory(self):
-        # The network delivers a copy of the start after everything was forgotten. It
+    def test_a_late_copy_of_a_start_after_the_records_expired(self):
+        # The network delivers a copy of the start after all records were dropped. It
         # must not be recorded as new.
-        self.ask(self.issuer)
+        self.run_ticket(self.issuer)
         freeze(601.0)
         advance(3.0)
         answer = self.witness.witness.record_start(StartRecord(self.ticket))
         self.assertFalse(answer.recorded)
 
-    def test_zone_cut_off_has_no_witness(self):
-        # A zone cut off goes on booking, at most once, and says that the outcome
-        # would be lost with the issuer.
-        self.world.network.separate(["a1"], ["b1", "c1"])
+    def test_a_zone_that_is_cut_off_has_no_witness(self):
+        # A zone that is cut off continues to book, at most once. A ticket without a
+        # witness says that its outcome would be lost with the issuer.
+        self.fleet.network.separate(["a1"], ["b1", "c1"])
         advance(3.0)
         _, self.ticket = self.issuer.tickets.issue("crews", "orders")
         self.assertEqual(self.ticket.witness, "")
-        self.assertEqual(self.ask(self.issuer).state, FINISHED)
-        self.assertEqual(self.ask(self.other).state, UNKNOWN)
+        self.assertEqual(self.run_ticket(self.issuer).state, FINISHED)
+        self.assertEqual(self.run_ticket(self.other).state, UNKNOWN)
         self.assertEqual(self.runs(), 1)
 
-    def test_looking_changes_nothing(self):
-        look = run_green(lambda: self.other.tickets.query_outcome(self.ticket))
+    def test_a_query_changes_nothing(self):
+        query = run_green(lambda: self.other.tickets.query_outcome(self.ticket))
         advance(2.0)
-        self.assertEqual(look.value.state, "unused")
-        self.assertEqual(self.ask(self.issuer).state, FINISHED)
+        self.assertEqual(query.value.state, "unused")
+        self.assertEqual(self.run_ticket(self.issuer).state, FINISHED)
 
-    def test_looking_after_the_memory(self):
-        # The booking ran and was forgotten. To say "not used" would invite a second.
-        self.ask(self.issuer)
+    def test_a_query_after_the_records_expired(self):
+        # The booking ran and its record was dropped. To report "not used" would invite
+        # a second booking.
+        self.run_ticket(self.issuer)
         freeze(601.0)
         advance(3.0)
         query = OutcomeQuery(self.ticket)
         self.issuer.tickets._run_by_nonce.clear()
         self.assertEqual(self.issuer.tickets.handle_outcome_query(query).state, UNKNOWN)
 
-    def test_full_table_is_no_final_refusal(self):
-        # The issuer has no room for the ticket now. "Not run" would be final for its
-        # caller, who books anew, and the ticket could still run afterwards.
+    def test_a_full_table_is_no_final_rejection(self):
+        # The issuer's table of tickets is full for now. "Not run" would be final for
+        # the caller, which books again, and the ticket could still run afterwards.
         runs = self.issuer.tickets._run_by_nonce
         runs.update({f"other{n}": object() for n in range(20_000)})
         self.issuer.tickets._expire_runs = lambda: None
-        self.assertEqual(self.ask(self.issuer).state, "busy")
+        self.assertEqual(self.run_ticket(self.issuer).state, "busy")
         runs.clear()
-        self.assertEqual(self.ask(self.issuer).state, FINISHED)
+        self.assertEqual(self.run_ticket(self.issuer).state, FINISHED)
 
     @params("crews-2", "stock")
     def test_ticket_is_for_one_team_and_service(self, wrong):
@@ -272,40 +275,40 @@
         self.assertTrue(stopped.done)
 
     def test_unused_ticket_runs_at_its_witness(self):
-        # A planned stop must not cost the caller its booking.
+        # A planned stop must not lose the caller's booking.
         self.stop_issuer()
-        self.world.kill("a1")
-        self.assertEqual(self.ask(self.other).state, FINISHED)
-        self.assertEqual(self.ask(self.witness).state, FINISHED)
+        self.fleet.kill("a1")
+        self.assertEqual(self.run_ticket(self.other).state, FINISHED)
+        self.assertEqual(self.run_ticket(self.witness).state, FINISHED)
         self.assertEqual(self.runs(), 1)
 
-    def test_refused_ticket_does_not_run_at_its_witness(self):
-        # The issuer could not reach its witness and said "not run". After its stop
-        # the witness must not run that ticket; the model checker found this one.
+    def test_a_rejected_ticket_does_not_run_at_its_witness(self):
+        # The issuer could not reach its witness and reported "not run". After its stop
+        # the witness must not run that ticket. The model checker found this fault.
         witness = self.witness.settings.daemon.id
-        self.world.network.separate(["a1"], [witness])
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+        self.fleet.network.separate(["a1"], [witness])
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         advance(2.0)
-        self.world.network.heal()
+        self.fleet.network.heal()
         advance(2.0)
         self.stop_issuer()
-        self.world.kill("a1")
-        self.assertEqual(self.ask(self.other).state, NOT_RUN)
+        self.fleet.kill("a1")
+        self.assertEqual(self.run_ticket(self.other).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
-    def test_late_start_after_the_handover(self):
+    def test_a_late_start_after_the_handover_is_rejected(self):
         self.stop_issuer()
         answer = self.witness.witness.record_start(StartRecord(self.ticket))
         self.assertFalse(answer.recorded)
 
     def test_outcomes_survive_the_stop(self):
-        self.ask(self.issuer)
+        self.run_ticket(self.issuer)
         self.stop_issuer()
-        self.world.kill("a1")
-        self.assertEqual(self.ask(self.other).state, FINISHED)
+        self.fleet.kill("a1")
+        self.assertEqual(self.run_ticket(self.other).state, FINISHED)
         self.assertEqual(self.runs(), 1)
 
-    def test_outcome_of_a_sealed_ticket_stays(self):
-        sealed = self.witness.witness.cancel_unstarted(self.ticket)
-        self.witness.witness.record_outcome(OutcomeRecord(self.ticket, sealed))
+    def test_the_outcome_of_a_cancelled_ticket_stays(self):
+        cancelled = self.witness.witness.cancel_unstarted(self.ticket)
+        self.witness.witness.record_outcome(OutcomeRecord(self.ticket, cancelled))
         self.assertEqual(self.witness.witness.query_outcome(self.ticket).state, NOT_RUN)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Which requests go first, by the priorities of their teams and routes."""
+"""Tests for the urgency of requests, by the priorities of teams and routes."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 def route(name, priority, **changes):
-    """Make a route of a stream."""
+    """Return a route of streams."""
     shares = (Share("engines", 1),)
     return Route(
         name,
@@ -48,13 +48,13 @@
 
 
 def configure(*teams, routes=(QUOTE, SUMMARY, CHAT)):
-    """Make a configuration in which each team has a key of its own."""
+    """Return a configuration in which each team has a key of its own."""
     keyed = [(team, (team.name,)) for team in teams]
     return Configuration(1, list(routes), [], keyed, CallerLimits())
 
 
 class UrgencyTest(unittest.TestCase):
-    """Pairs of requests of which the first one is the more urgent."""
+    """Pairs of requests of which the first one is more urgent."""
 
     @parameterized.expand(
         [
@@ -67,19 +67,19 @@
     )
     def test_order(self, _, first, second):
         configuration = configure(first[0], second[0])
-        places = [configuration.urgency(r, team) for team, r in (first, second)]
-        self.assertLess(*places)
+        urgencies = [configuration.urgency(r, team) for team, r in (first, second)]
+        self.assertLess(*urgencies)
 
-    def test_places_are_dense(self):
-        """All teams have one priority; the most urgent kind is told as place 0.
+    def test_urgencies_are_consecutive(self):
+        """All teams have the same priority; the most urgent kind gets urgency 0.
 
-        Admission and engines count in steps from 0, so a gap would treat the first
-        kind as a less urgent one.
+        Admission and engines count in steps from 0, so a gap would treat the first kind
+        as a less urgent one.
         """
         team = Team("a", 7)
         configuration = configure(team)
-        places = [configuration.urgency(r, team) for r in (QUOTE, SUMMARY, CHAT)]
-        self.assertEqual(places, [0, 1, 2])
+        urgencies = [configuration.urgency(r, team) for r in (QUOTE, SUMMARY, CHAT)]
+        self.assertEqual(urgencies, [0, 1, 2])
 
     def test_public_routes_need_no_team(self):
         public = route("public", 1, is_public=True)
@@ -87,14 +87,14 @@
         self.assertGreaterEqual(configuration.urgency(public, None), 0)
 
 
-class BurstOfChatsTest(unittest.TestCase):
-    """Bursts of the least urgent kind in front of a stage that all kinds use."""
+class ChatBurstTest(unittest.TestCase):
+    """Bursts of the least urgent kind at a stage that all kinds use."""
 
-    def test_quotes_pass_a_burst_of_chats(self):
-        """Twelve chats and four quotes of teams of equal priority come at once.
+    def test_quotes_overtake_a_burst_of_chats(self):
+        """Twelve chats and four quotes of teams of equal priority arrive at once.
 
-        Were the team's priority all that counts, the quotes would wait for three calls
-        of chats; their callers would get the most urgent answers too late.
+        If only the team's priority counted, the quotes would wait for three calls of
+        chats, and the most urgent responses would be too late.
         """
         team = Team("a", 1)
         configuration = configure(team)
--- a/tests/test_urgency_distribution.py
+++ b/tests/test_urgency_distribution.py
@@ -1,4 +1,4 @@
-"""How much of what comes in is more urgent."""
+"""Tests for the distribution of the urgencies of recent requests."""
 
 import unittest
 
@@ -10,15 +10,15 @@
 NEARLY_FULL = Forecast(seconds=0.9, idle_seconds=0.4, objective=1.4, remaining=5.0)
 
 
-def mix_of(*urgencies):
-    """The mix of requests that came 0.1 s apart."""
-    mix = UrgencyDistribution()
+def make_distribution(*urgencies):
+    """Return the distribution of requests that arrived 0.1 s apart."""
+    distribution = UrgencyDistribution()
     for number, urgency in enumerate(urgencies):
-        mix.record(urgency, 0.1 * number)
-    return mix
+        distribution.record(urgency, 0.1 * number)
+    return distribution
 
 
-class UrgencyMixTest(unittest.TestCase):
+class UrgencyDistributionTest(unittest.TestCase):
     """Requests of several teams and routes."""
 
     @parameterized.expand(
@@ -29,24 +29,24 @@
             ("less_urgent_ones", (4, 5, 4, 5), 3, 0.0),
         ]
     )
-    def test_share(self, _, came, urgency, expected):
-        found = mix_of(*came).more_urgent_fraction(urgency)
+    def test_more_urgent_fraction(self, _, arrived, urgency, expected):
+        found = make_distribution(*arrived).more_urgent_fraction(urgency)
         self.assertAlmostEqual(found, expected, delta=0.02)
 
-    def test_it_forgets(self):
-        mix = mix_of(0, 0, 0, 0)
-        mix.record(1, 30.0)
-        self.assertLess(mix.more_urgent_fraction(1), 0.02)
+    def test_old_requests_decay(self):
+        distribution = make_distribution(0, 0, 0, 0)
+        distribution.record(1, 30.0)
+        self.assertLess(distribution.more_urgent_fraction(1), 0.02)
 
-    def test_a_team_that_hardly_comes_shuts_nobody_out(self):
-        """One request in twenty is of a team that goes before all others.
+    def test_a_rare_urgent_team_does_not_block_other_teams(self):
+        """One request in twenty is of a team that goes before all other teams.
 
-        The first kind of the other teams stands behind three places of that team.
-        Counting places it would be refused at half of the wait that it could bear.
+        The first kind of the other teams ranks behind three urgencies of that team. If
+        urgencies were counted, it would be rejected at half of its acceptable wait.
         """
-        mix = mix_of(0, *[3] * 19)
-        self.assertTrue(admits(NEARLY_FULL, mix.more_urgent_fraction(3)))
+        distribution = make_distribution(0, *[3] * 19)
+        self.assertTrue(admits(NEARLY_FULL, distribution.more_urgent_fraction(3)))
 
-    def test_a_flood_of_urgent_requests_is_left_its_room(self):
-        mix = mix_of(*[0] * 19, 3)
-        self.assertFalse(admits(NEARLY_FULL, mix.more_urgent_fraction(3)))
+    def test_a_flood_of_urgent_requests_keeps_its_capacity(self):
+        distribution = make_distribution(*[0] * 19, 3)
+        self.assertFalse(admits(NEARLY_FULL, distribution.more_urgent_fraction(3)))
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""What daemons report of the processor time that they take."""
+"""Tests for the meter of a daemon's processor time."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class UsageMeterTest(unittest.TestCase):
-    """A process whose processor time and counters the test sets."""
+    """A process whose processor time and counters are set by the test."""
 
     def setUp(self):
         self.spent = 10.0
@@ -16,14 +16,14 @@
             {"sent": lambda: self.sent}, processor_seconds=lambda: self.spent
         )
 
-    def test_one_report_an_interval(self):
+    def test_one_report_per_interval(self):
         advance(REPORT_INTERVAL_S / 2)
         self.assertIsNone(self.meter.collect())
         advance(REPORT_INTERVAL_S / 2)
         self.assertIsNotNone(self.meter.collect())
         self.assertIsNone(self.meter.collect())
 
-    def test_figures_are_those_of_the_interval(self):
+    def test_values_cover_one_interval(self):
         for spent, sent, delay in ((2.0, 30, 0.5), (1.0, 20, 0.1)):
             self.spent += spent
             self.sent += sent
--- a/tests/test_view_follower.py
+++ b/tests/test_view_follower.py
@@ -1,4 +1,4 @@
-"""How a fleet learns what the platform's store publishes."""
+"""Tests for how a fleet receives the changes of the platform's store."""
 
 import unittest
 from unittest import mock
@@ -21,147 +21,156 @@
 
 OK = 200
 GONE = 410
-TRIP_S = 0.002
-STORE_S = 0.004
+LINK_DELAY_S = 0.002
+STORE_DELAY_S = 0.004
 START_S = 0.3
-MEET_S = 3.0
-CALM_S = 20.0
-# The platform's tightest bound on a configuration, a margin for its own delay left.
+DISCOVERY_S = 3.0
+OBSERVED_S = 20.0
+# The platform's tightest bound on a configuration change, less a margin for the
+# platform's own delay.
 IN_FORCE_S = 1.8
 KEY = "op/config"
-SILENT = mock.Mock()
+STUB = mock.Mock()
 
 
 class FakeStore:
-    """The platform's store: a list, watches, and calls that it counts."""
+    """The platform's store with its list and watches.
+
+    Attributes:
+        revision: Revision of the newest write.
+        entries: Entries by key, deleted ones with the value None.
+        calls: Number of calls.
+        refused: Instances whose calls get no response.
+        resets: Instances whose next call is reset.
+        history_start: First revision from which changes can be watched.
+        changed: Is sent at the next write.
+    """
 
     def __init__(self):
         self.revision = 0
         self.entries = {}
         self.calls = 0
         self.refused = set()
-        self.cuts = set()
-        self.forgotten = 0
+        self.resets = set()
+        self.history_start = 0
         self.changed = Event()
 
     def write(self, key, value):
-        """Write an item, or delete it."""
+        """Write an entry, or delete it with the value None."""
         self.revision += 1
         self.entries[key] = StoreEntry(key, self.revision, value)
         changed, self.changed = self.changed, Event()
         changed.send()
 
     def call(self, instance, call):
-        """Answer a call."""
+        """Respond to a call of an instance."""
         self.calls += 1
-        eventlet.sleep(STORE_S)
+        eventlet.sleep(STORE_DELAY_S)
         if instance in self.refused:
             raise ConnectionLostError("silent")
-        if instance in self.cuts:
-            self.cuts.discard(instance)
+        if instance in self.resets:
+            self.resets.discard(instance)
             raise ConnectionLostError("reset")
         kind, after, wait = call
         if kind == "list":
             live = [e for e in self.entries.values() if e.value is not None]
             return OK, StorePage(live, self.revision)
-        if after < self.forgotten:
+        if after < self.history_start:
             return GONE, b""
         with eventlet.Timeout(wait, False):
             while self.revision <= after:
                 self.changed.wait()
-        news = [e for e in self.entries.values() if e.revision > after]
-        return OK, StorePage(news, self.revision)
+        updates = [e for e in self.entries.values() if e.revision > after]
+        return OK, StorePage(updates, self.revision)
 
 
 class FakeDialect:
-    """Entries that mean nothing."""
+    """A dialect whose entries have no content."""
 
     def list_entries(self, _):
-        """A call."""
+        """Return a call of the list."""
         return "list", 0, 0.0
 
     def watch_entries(self, after, wait):
-        """A call."""
+        """Return a call that waits for changes."""
         return "watch", after, wait
 
     def read_page(self, body):
-        """A page is its own encoding here."""
+        """Return the page, which the fake store does not encode."""
         return body
 
     def decode(self, _):
-        """Nothing."""
+        """Decode no entry."""
 
     def target_id(self, _):
-        """None."""
+        """Return None, as no entry is a target."""
 
 
 class FakeLink:
-    """A connection to another instance of the same process."""
+    """A connection to another instance of the simulation."""
 
-    def __init__(self, world, contact):
+    def __init__(self, simulation, contact):
         self.contact = contact
-        self._world = world
+        self._simulation = simulation
 
     def query(self, request):
-        """Ask, unless the other one is dead or frozen."""
-        world, name = self._world, self.contact.id
-        if name in world.dead:
+        """Return the response of the peer, unless it is dead or frozen."""
+        simulation, name = self._simulation, self.contact.id
+        if name in simulation.dead:
             raise LinkError("reset")
-        eventlet.sleep(TRIP_S)
-        exchange = world.instances[name].exchange
+        eventlet.sleep(LINK_DELAY_S)
+        exchange = simulation.instances[name].exchange
         exchange._wait_for_change(request)
-        if name in world.frozen:
+        if name in simulation.frozen:
             eventlet.sleep(request.wait + 0.6)
             raise LinkError("silent")
-        answer = exchange._make_response(request)
-        eventlet.sleep(TRIP_S)
-        return answer
+        response = exchange._make_response(request)
+        eventlet.sleep(LINK_DELAY_S)
+        return response
 
     def close(self):
-        """Close it."""
+        """Do nothing."""
 
 
 class Follower:
     """The parts of one instance that follow the store."""
 
-    def __init__(self, world, peers):
+    def __init__(self, simulation, peers):
         dialect = FakeDialect()
         self.peers = peers
-        self.view = View(dialect, SILENT)
+        self.view = View(dialect, STUB)
         self.store = StoreFollower(
-            SILENT, dialect, self.view, lambda: len(world.instances), SILENT
+            STUB, dialect, self.view, lambda: len(simulation.instances), STUB
         )
-        self.store._call = lambda call, _: world.store.call(peers.own.id, call)
+        self.store._call = lambda call, _: simulation.store.call(peers.own.id, call)
         settings = mock.Mock()
         settings.listen.peer_port = 0
         settings.instance.host = peers.own.host
         self.exchange = ViewExchange(
-            settings, self.view, peers, SILENT, self.store.is_refused
-        )
-        self.exchange.connect = lambda contact: FakeLink(world, contact)
-        self.follower = ViewFollower(
-            self.store, self.exchange, self.view, peers, SILENT
+            settings, self.view, peers, STUB, self.store.is_refused
         )
+        self.exchange.connect = lambda contact: FakeLink(simulation, contact)
+        self.follower = ViewFollower(self.store, self.exchange, self.view, peers, STUB)
         peers.own_revision = lambda: self.view.revision
         self.threads = [
             eventlet.spawn(self.follower.run),
             eventlet.spawn(self.exchange.run),
         ]
 
-    def end(self):
-        """End it as a kill does."""
+    def stop(self):
+        """Stop all threads and heartbeats, as when the process is killed."""
         self.peers.send_heartbeats = lambda: None
         for thread in self.threads:
             thread.kill()
 
     def value(self, key):
-        """What it knows of an item."""
+        """Return the value of an entry in the view of this instance."""
         found = [e for e in self.view.changes_since(-1).entries if e.key == key]
         return found[0].value if found else None
 
 
-class World:
-    """A fleet, the store and what is wrong with them."""
+class FleetSimulation:
+    """A fleet and its store, some of whose instances are dead or frozen."""
 
     def __init__(self, size):
         self.store = FakeStore()
@@ -173,106 +182,106 @@
         for peers in self.fleet:
             self.instances[peers.own.id] = Follower(self, peers)
         self.fleet.start(within=START_S)
-        advance(START_S + MEET_S)
+        advance(START_S + DISCOVERY_S)
 
     def readers(self):
-        """The reader of each zone, as its instances see it."""
-        peers = [instance.peers for instance in self.living()]
+        """Return the readers of each zone from the views of its instances."""
+        peers = [instance.peers for instance in self.live_instances()]
         return {
             zone: {rank_owners(p, STORE, zone)[0] for p in peers if p.own.zone == zone}
             for zone in ZONES
         }
 
-    def living(self):
-        """Instances that are neither dead nor frozen."""
-        gone = self.dead | self.frozen
-        return [i for name, i in self.instances.items() if name not in gone]
+    def live_instances(self):
+        """Return the instances that are neither dead nor frozen."""
+        failed = self.dead | self.frozen
+        return [i for name, i in self.instances.items() if name not in failed]
 
     def kill(self, names):
-        """End instances without a word."""
+        """Kill instances without notice."""
         for name in names:
             self.dead.add(name)
             self.fleet.kill(name)
-            self.instances[name].end()
+            self.instances[name].stop()
 
-    def known(self):
-        """What living instances know of the configuration."""
-        return {instance.value(KEY) for instance in self.living()}
+    def known_values(self):
+        """Return the values of the configuration in the views of live instances."""
+        return {instance.value(KEY) for instance in self.live_instances()}
 
     def close(self):
-        """End everything."""
+        """Stop all instances."""
         for instance in self.instances.values():
-            instance.end()
+            instance.stop()
 
 
-def refuse(world, names):
-    """The store refuses the readers."""
-    world.store.refused |= names
+def refuse(simulation, names):
+    """Have the store stop responding to instances."""
+    simulation.store.refused |= names
 
 
-def freeze(world, names):
-    """The readers stand still."""
-    world.frozen |= names
+def freeze(simulation, names):
+    """Freeze instances."""
+    simulation.frozen |= names
 
 
-def kill(world, names):
-    """The readers die."""
-    world.kill(names)
+def kill(simulation, names):
+    """Kill instances."""
+    simulation.kill(names)
 
 
 class FollowingTest(unittest.TestCase):
-    """A fleet in four zones."""
+    """A simulated fleet in four zones."""
 
     def setUp(self):
         use_paused_clock()
         self.addCleanup(use_paused_clock)
 
-    def open(self, size):
-        """Start a fleet."""
-        world = World(size)
-        self.addCleanup(world.close)
-        return world
+    def start_simulation(self, size):
+        """Start the simulation of a fleet."""
+        simulation = FleetSimulation(size)
+        self.addCleanup(simulation.close)
+        return simulation
 
     @parameterized.expand([("small", 8), ("large", 32)])
     def test_calls_to_the_store_do_not_grow_with_the_fleet(self, _, size):
         """Guards against each instance of a large fleet watching the store."""
-        world = self.open(size)
-        before = world.store.calls
-        for second in range(int(CALM_S)):
-            world.store.write("servers/t", b"%d" % second)
+        simulation = self.start_simulation(size)
+        before = simulation.store.calls
+        for second in range(int(OBSERVED_S)):
+            simulation.store.write("servers/t", b"%d" % second)
             advance(1.0)
-        rate = (world.store.calls - before) / CALM_S
+        rate = (simulation.store.calls - before) / OBSERVED_S
         self.assertLess(rate, 2.5 * len(ZONES))
-        self.assertEqual(world.known(), {b"1"})
+        self.assertEqual(simulation.known_values(), {b"1"})
 
     def test_a_starting_fleet_lists_the_store_once_each(self):
-        """Guards against watches of all instances before any knows its reader."""
+        """Guards against watches by all instances before they know their readers."""
         size = 32
-        world = self.open(size)
-        readers = MEET_S * len(ZONES)
-        self.assertLessEqual(world.store.calls, size + readers)
-
-    def test_a_calm_fleet_stays_with_its_readers(self):
-        """Guards against readers that are left because nothing changes."""
-        world = self.open(32)
-        before = world.store.calls
-        advance(CALM_S)
-        rate = (world.store.calls - before) / CALM_S
+        simulation = self.start_simulation(size)
+        readers = DISCOVERY_S * len(ZONES)
+        self.assertLessEqual(simulation.store.calls, size + readers)
+
+    def test_an_idle_fleet_keeps_its_readers(self):
+        """Guards against changes of the reader because the store does not change."""
+        simulation = self.start_simulation(32)
+        before = simulation.store.calls
+        advance(OBSERVED_S)
+        rate = (simulation.store.calls - before) / OBSERVED_S
         self.assertLess(rate, 0.6 * len(ZONES))
 
-    def test_readers_whose_watch_is_cut_are_not_left(self):
-        """Guards against fleets that all read the store after one cut watch."""
-        world = self.open(32)
-        world.store.cuts |= set().union(*world.readers().values())
-        before = world.store.calls
-        advance(CALM_S)
-        rate = (world.store.calls - before) / CALM_S
-        self.assertFalse(world.store.cuts)
+    def test_readers_whose_watch_is_reset_are_kept(self):
+        """Guards against a fleet that reads the store itself after one reset watch."""
+        simulation = self.start_simulation(32)
+        simulation.store.resets |= set().union(*simulation.readers().values())
+        before = simulation.store.calls
+        advance(OBSERVED_S)
+        rate = (simulation.store.calls - before) / OBSERVED_S
+        self.assertFalse(simulation.store.resets)
         self.assertLess(rate, 0.8 * len(ZONES))
 
     @parameterized.expand([("small", 8), ("large", 32)])
     def test_each_zone_has_one_reader(self, _, size):
-        for readers in self.open(size).readers().values():
+        for readers in self.start_simulation(size).readers().values():
             self.assertEqual(len(readers), 1)
 
     @parameterized.expand(
@@ -285,33 +294,35 @@
             ("refuse_large", refuse, 32),
         ]
     )
-    def test_a_change_is_in_force_though_all_readers_are_lost(self, _, harm, size):
-        """Guards against zones that learn nothing once their readers are gone."""
-        world = self.open(size)
-        readers = set().union(*world.readers().values())
-        harm(world, readers)
-        world.store.write(KEY, b"2")
+    def test_a_change_takes_effect_when_all_readers_are_lost(
+        self, _, fail_readers, size
+    ):
+        """Guards against zones that get no changes once their readers are lost."""
+        simulation = self.start_simulation(size)
+        readers = set().union(*simulation.readers().values())
+        fail_readers(simulation, readers)
+        simulation.store.write(KEY, b"2")
         advance(IN_FORCE_S)
-        self.assertEqual(world.known(), {b"2"})
-
-    def test_a_change_is_in_force_though_the_store_forgets(self):
-        """Guards against a reader that stays behind when its history is gone."""
-        world = self.open(8)
-        world.store.write("servers/t", b"1")
-        world.store.forgotten = world.store.revision + 1
-        world.store.write(KEY, b"2")
+        self.assertEqual(simulation.known_values(), {b"2"})
+
+    def test_a_change_takes_effect_when_the_store_lost_its_history(self):
+        """Guards against a reader that stays behind when the history is dropped."""
+        simulation = self.start_simulation(8)
+        simulation.store.write("servers/t", b"1")
+        simulation.store.history_start = simulation.store.revision + 1
+        simulation.store.write(KEY, b"2")
         advance(IN_FORCE_S)
-        self.assertEqual(world.known(), {b"2"})
+        self.assertEqual(simulation.known_values(), {b"2"})
 
-    def test_a_new_reader_tells_of_what_was_deleted_before_its_time(self):
-        """Guards against targets that stay known because nobody tells of their end."""
+    def test_a_new_reader_reports_earlier_deletions(self):
+        """Guards against targets that stay listed because no deletion is reported."""
         store = FakeStore()
         store.write("servers/t", b"1")
-        old = View(FakeDialect(), SILENT)
+        old = View(FakeDialect(), STUB)
         old.replace(list(store.entries.values()), store.revision, source="store")
         store.write("servers/t", None)
         store.write(KEY, b"1")
-        new = View(FakeDialect(), SILENT)
+        new = View(FakeDialect(), STUB)
         live = [e for e in store.entries.values() if e.value is not None]
         new.replace(live, store.revision, source="store")
         changes = new.changes_since(old.revision)
@@ -322,7 +333,7 @@
 
 
 class PickReaderTest(unittest.TestCase):
-    """Who reads the store for a zone."""
+    """The instance from which another one receives changes of the store."""
 
     @parameterized.expand(
         [
--- a/tests/test_wait_errors.py
+++ b/tests/test_wait_errors.py
@@ -1,4 +1,4 @@
-"""What an owner learns of its own forecasts."""
+"""Tests for the correction of wait forecasts by their errors."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def replay(errors, actual, *, count=30, place=0):
-    """Have stages end of two pieces of which 0.6 s were expected."""
+    """Record stages of two pieces that were expected to take 0.6 s."""
     for number in range(count):
         stage = StageKey(f"r{number}", 0, 0)
         errors.record_start(stage, place, 2, 0.6, float(number))
@@ -22,36 +22,36 @@
 
 
 class WaitErrorsTest(unittest.TestCase):
-    """Stages that take longer than expected, or not."""
+    """Corrections after stages that took longer than expected, or as long."""
 
-    def test_a_burst_that_waits_for_room_is_not_let_in(self):
-        """Targets wait for room, and stages take 1.5 s of which 0.6 s were expected.
+    def test_a_burst_that_waits_for_memory_is_rejected(self):
+        """Targets wait for memory, and stages take 1.5 s instead of the expected 0.6 s.
 
-        By the plain forecast requests that have 1.1 s would be admitted and end late,
-        one after the other, while the queue in front of them grows.
+        With the uncorrected forecast, requests with an objective of 1.1 s would be
+        admitted and finish late, while the queue in front of them grows.
         """
         errors = WaitErrors()
         replay(errors, 1.5)
         wait = errors.correct(DRAINS, CALL_S)[0] + CALL_S
-        plain = Forecast(0.6 + 0.1, 0.4, 1.1, 5.0)
-        self.assertTrue(admits(plain, 0.0))
-        self.assertFalse(admits(plain._replace(seconds=wait + 0.1), 0.0))
+        uncorrected = Forecast(0.6 + 0.1, 0.4, 1.1, 5.0)
+        self.assertTrue(admits(uncorrected, 0.0))
+        self.assertFalse(admits(uncorrected._replace(seconds=wait + 0.1), 0.0))
 
-    def test_it_is_forgotten_when_the_burst_is_over(self):
+    def test_the_error_decays_when_the_burst_is_over(self):
         errors = WaitErrors()
         replay(errors, 1.5)
         replay(errors, 0.6)
         self.assertAlmostEqual(errors.correct(DRAINS, CALL_S)[0], 0.3, delta=0.05)
 
     @parameterized.expand([("others", 1, 0.3), ("own", 0, 1.2)])
-    def test_places_are_told_apart(self, _, place, expected):
+    def test_places_are_distinguished(self, _, place, expected):
         errors = WaitErrors()
         replay(errors, 1.5)
         found = errors.correct(DRAINS, CALL_S)[place]
         self.assertAlmostEqual(found, expected, delta=0.1)
 
-    def test_one_stage_counts_little(self):
-        """A target died, and one stage took ten times as long."""
+    def test_a_single_stage_has_little_weight(self):
+        """A target died, and one stage took ten times as long as expected."""
         errors = WaitErrors()
         replay(errors, 6.0, count=1)
         self.assertLess(errors.correct(DRAINS, CALL_S)[0], 0.6)
--- a/tests/test_zone_reach.py
+++ b/tests/test_zone_reach.py
@@ -1,4 +1,4 @@
-"""Zones that are cut off, and zones whose instances merely stopped."""
+"""Tests for telling zones that are cut off from those whose instances stopped."""
 
 import unittest
 from unittest import mock
@@ -43,27 +43,27 @@
         self.view.apply(entries, 83, source="test")
         self.dead = set()
         self.pool = mock.Mock()
-        self.pool.acquire.side_effect = self._take
+        self.pool.acquire.side_effect = self._acquire
         self.peers = mock.Mock(own=Contact("me", "a", "127.0.0.1"))
         self.peers.alive.return_value = []
         self.peers.totals.return_value = TargetTotals()
-        self.heard_at = now()
-        self.peers.zone_last_seen_at.side_effect = lambda zone: self.heard_at
+        self.last_seen_at = now()
+        self.peers.zone_last_seen_at.side_effect = lambda zone: self.last_seen_at
         self.reach = ZoneReach(self.view, self.peers, self.pool, dialect, mock.Mock())
         self.thread = eventlet.spawn(self.reach.run)
         self.addCleanup(self.thread.kill)
 
-    def _take(self, address, limit):
+    def _acquire(self, address, limit):
         if address.port in self.dead:
             eventlet.sleep(limit)
             raise ConnectionLostError("connect", is_unsent=True)
         return mock.Mock()
 
-    def test_a_zone_that_is_cut_off_gets_nothing_until_it_is_back(self):
-        """A zone is cut off; its targets' entries stay as they were.
+    def test_a_cut_off_zone_gets_no_work_until_it_is_reachable(self):
+        """A zone is cut off while the entries of its targets stay unchanged.
 
-        Each request that is sent there is lost for up to two seconds, and callers see
-        their requests end late or not at all.
+        Each request that is sent there is stuck for up to two seconds, so that it
+        finishes late or not at all.
         """
         changes = mock.Mock()
         self.reach.subscribe(changes)
@@ -81,8 +81,8 @@
         found = selector.candidates("encode", set())
         self.assertEqual([c.target.id for c in found], ["t3"])
         found = selector.candidates("encode", {"t3"})
-        self.assertEqual(found, [], "refused at once, not tried in vain")
-        self.heard_at = now()
+        self.assertEqual(found, [], "rejected at once, without a useless attempt")
+        self.last_seen_at = now()
         advance(0.3)
         self.assertFalse(self.reach.is_lost("b"))
         self.assertEqual(changes.call_count, 2)
@@ -90,38 +90,38 @@
     def test_a_zone_whose_instances_stopped_is_not_lost(self):
         """All instances of a zone stop, and one of its targets has crashed.
 
-        The other targets still answer; without them a third of what can be done would
-        lie idle until the instances are back.
+        The other targets still respond. Without them a third of the capacity would be
+        idle until the instances return.
         """
         self.dead = {81}
         advance(5.0)
         self.assertFalse(self.reach.is_lost("b"))
 
-    def test_a_zone_that_is_silent_by_chance_is_not_probed(self):
+    def test_a_zone_that_responds_to_a_request_is_not_probed(self):
         """Guards against probes whenever the heartbeats of a large fleet pause."""
 
-        def hear(_):
-            self.heard_at = now()
+        def receive_heartbeat(_):
+            self.last_seen_at = now()
 
-        self.peers.request_heartbeat.side_effect = hear
+        self.peers.request_heartbeat.side_effect = receive_heartbeat
         advance(10.0)
         self.peers.request_heartbeat.assert_called_with("b")
         self.pool.acquire.assert_not_called()
 
-    def test_a_lost_zone_is_probed_less_and_less(self):
-        """Guards against thousands of probes by a large fleet during a cut."""
+    def test_a_lost_zone_is_probed_less_often(self):
+        """Guards against thousands of probes by a large fleet during a partition."""
         self.dead = {81, 82}
         advance(10.0)
         self.assertTrue(self.reach.is_lost("b"))
         self.assertLess(self.pool.acquire.call_count, 10)
 
-    def test_an_instance_that_starts_listens_first(self):
+    def test_a_starting_instance_listens_before_it_probes(self):
         """Guards against probes by all instances of a fleet that is restarted."""
-        self.heard_at = float("-inf")
+        self.last_seen_at = float("-inf")
         advance(0.4)
         self.pool.acquire.assert_not_called()
 
-    def test_the_own_zone_is_never_asked(self):
+    def test_the_local_zone_is_never_probed(self):
         self.dead = {81, 82, 83}
         advance(5.0)
         self.assertFalse(self.reach.is_lost("a"))
