--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -32,8 +32,8 @@
     def test_a_heartbeat_fits_one_packet(self):
         reports = self.daemon.reports.heartbeat_reports()
         self.assertEqual(len(reports), 40)
-        beat = self.daemon.peers._make_heartbeat(self.daemon.peers.by_id["b1"])
-        self.assertLess(len(sign(beat._replace(reports=reports), KEY)), MTU)
+        heartbeat = self.daemon.peers._make_heartbeat(self.daemon.peers.by_id["b1"])
+        self.assertLess(len(sign(heartbeat._replace(reports=reports), KEY)), MTU)
 
     def test_reported_targets_are_warm_for_peers(self):
         targets = self.fleet.daemons["b1"].targets.by_id.values()
--- a/tests/test_result_memory.py
+++ b/tests/test_result_memory.py
@@ -51,7 +51,7 @@
         """An owner dies while its results still occupy memory at the target.
 
         Its successor must not keep calling for results that do not fit. A target that
-        is not called reports the same free memory for ever, so it is tried again soon.
+        is not called keeps reporting the same free memory, so it is tried again soon.
         """
         memory = ResultMemory(18e6, 4.0)
         memory.reconcile(3e6, 10.0)
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -296,7 +296,7 @@
         self.assertEqual(len(end.handles), 3)
         self.assertTrue(set(end.handles) <= self.calls.live)
 
-    def test_a_chain_restarts_at_the_last_stage_with_inputs(self):
+    def test_a_chain_restarts_at_a_stage_whose_inputs_exist(self):
         """The last stage fails after the results of all earlier stages were released.
 
         If pieces were sent with handles that the run itself has released, each stage
--- a/tests/test_stage_plan.py
+++ b/tests/test_stage_plan.py
@@ -17,7 +17,7 @@
 )
 
 
-def plan(pieces, *, drain=0.0):
+def make_plan(pieces, *, drain=0.0):
     """Return a plan with calls of 0.25 s for all services."""
     return StagePlan(
         ROUTE,
@@ -39,10 +39,10 @@
         Targets have memory for six of them. If started at once, such results occupy
         memory that other requests need, and make those requests late.
         """
-        found = plan((1, 1, 8, 16))
-        self.assertTrue(found.should_wait(0, set(), 0.0))
-        self.assertFalse(found.should_wait(1, set(), 0.0))
-        self.assertFalse(found.should_wait(0, {1, 2}, 0.0))
+        plan = make_plan((1, 1, 8, 16))
+        self.assertTrue(plan.should_wait(0, set(), 0.0))
+        self.assertFalse(plan.should_wait(1, set(), 0.0))
+        self.assertFalse(plan.should_wait(0, {1, 2}, 0.0))
 
     def test_a_late_chain_delays_its_large_result(self):
         """In a burst the first stage of a chain takes a second instead of 0.25 s.
@@ -50,24 +50,26 @@
         Two stages are still to run. A large result that starts now would occupy memory
         for as long as they take, and make other requests late.
         """
-        found = plan((1, 1, 8, 16))
-        self.assertTrue(found.should_wait(0, set(), 1.0))
-        self.assertFalse(found.should_wait(0, {1, 2}, 1.0))
+        plan = make_plan((1, 1, 8, 16))
+        self.assertTrue(plan.should_wait(0, set(), 1.0))
+        self.assertFalse(plan.should_wait(0, {1, 2}, 1.0))
 
     def test_without_a_chain_a_large_result_starts_at_once(self):
-        self.assertFalse(plan((2, 0, 0, 0)).should_wait(0, set(), 0.0))
+        self.assertFalse(make_plan((2, 0, 0, 0)).should_wait(0, set(), 0.0))
 
     def test_times(self):
-        found = plan((1, 1, 8, 16))
-        self.assertAlmostEqual(found.total_seconds(), 0.75)
-        self.assertAlmostEqual(found.objective_at(3), 102.3)
-        self.assertAlmostEqual(found.objective_at(1), 101.8)
-        self.assertEqual(found.sinks, [0, 3])
+        plan = make_plan((1, 1, 8, 16))
+        self.assertAlmostEqual(plan.total_seconds(), 0.75)
+        self.assertAlmostEqual(plan.objective_at(3), 102.3)
+        self.assertAlmostEqual(plan.objective_at(1), 101.8)
+        self.assertEqual(plan.sinks, [0, 3])
 
     def test_a_queue_drains_while_earlier_stages_run(self):
-        self.assertAlmostEqual(plan((1, 1, 8, 16), drain=0.3).total_seconds(), 1.05)
+        self.assertAlmostEqual(
+            make_plan((1, 1, 8, 16), drain=0.3).total_seconds(), 1.05
+        )
 
     def test_absent_stages_are_omitted(self):
-        found = plan((0, 1))
-        self.assertEqual(found.needed, [1])
-        self.assertEqual(found.predecessors(1), [])
+        plan = make_plan((0, 1))
+        self.assertEqual(plan.needed, [1])
+        self.assertEqual(plan.predecessors(1), [])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -142,7 +142,7 @@
         self.assertEqual(second["start"], 3)
         self.assertEqual(second["generated"], ["t0 ", "t1 ", "t2 "])
 
-    def test_resumed_stream_repeats_tokens(self):
+    def test_tokens_that_a_resumed_stream_repeats_are_dropped(self):
         def handle(call):
             if len(self.fleet.calls("generate")) > 1:
                 return tokens(call, 6, start=1)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -27,9 +27,9 @@
     def setUp(self):
         use_paused_clock()
         self.software_versions = {("generate", "v1")}
-        self.suspects = self.make(Policy())
+        self.suspects = self.make_suspects(Policy())
 
-    def make(self, policy):
+    def make_suspects(self, policy):
         return Suspects(
             Gossip(), lambda facts: None, lambda: self.software_versions, SILENT, policy
         )
@@ -114,7 +114,9 @@
         self.assertLessEqual(len(self.suspects), 2_000)
 
     def test_the_mechanism_can_be_switched_off(self):
-        self.suspects = self.make(Policy(frozenset((Mechanism.FATAL_REQUESTS,))))
+        self.suspects = self.make_suspects(
+            Policy(frozenset((Mechanism.FATAL_REQUESTS,)))
+        )
         self.crash(1, 2, 3)
         self.assertFalse(self.suspects.is_quarantined("w"))
 
--- a/tests/test_view_follower.py
+++ b/tests/test_view_follower.py
@@ -254,7 +254,7 @@
         self.assertLess(rate, 2.5 * len(ZONES))
         self.assertEqual(simulation.known_values(), {b"1"})
 
-    def test_a_starting_fleet_lists_the_store_once_each(self):
+    def test_a_starting_fleet_lists_the_store_once_per_instance(self):
         """Guards against watches by all instances before they know their readers."""
         size = 32
         simulation = self.start_simulation(size)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -30,7 +30,7 @@
         self.fleet.zone_states[zone] = "out"
         self.fleet.publish(revision)
 
-    def test_zone_taken_out_gets_no_new_work(self):
+    def test_a_zone_that_was_taken_out_gets_no_new_work(self):
         self.take_out("a")
         advance(1.5)
         for daemon in self.fleet.daemons.values():
@@ -160,7 +160,7 @@
         self.fleet.start()
         self.target = self.fleet.targets["stock-a"]
 
-    def test_gets_no_new_work(self):
+    def test_a_leaving_target_gets_no_new_work(self):
         self.fleet.publish_list(leaving=("stock-a",))
         advance(1.5)
         for daemon in self.fleet.daemons.values():
@@ -169,7 +169,7 @@
         self.assertEqual(self.target.calls, [])
 
     def test_no_new_work_where_the_list_lags(self):
-        # One instance's view of the list lags behind the others'.
+        # One instance's view of the list lags behind that of the other instances.
         old = self.fleet.list.payload
         self.fleet.list.payload_by_reader = {"a1": old}
         self.fleet.publish_list(leaving=("stock-a",))
