--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -74,27 +74,27 @@
 
     def __init__(self) -> None:
         self.daemon_by_address: dict[str, Daemon] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.frozen: set[str] = set()
-        self.lose_answers: set[type] = set()
+        self.unanswered_types: set[type] = set()
         self.held_datagrams: list[tuple[Any, str]] = []
         self.sent: list[tuple[str, str, Any]] = []
 
-    def separate(self, ones: list[str], others: list[str]) -> None:
+    def partition(self, ones: list[str], others: list[str]) -> None:
         """Cut every link between two groups."""
-        self.cut |= {(one, other) for one in ones for other in others}
-        self.cut |= {(other, one) for one in ones for other in others}
+        self.cut_links |= {(one, other) for one in ones for other in others}
+        self.cut_links |= {(other, one) for one in ones for other in others}
 
     def heal(self) -> None:
         """Mend every link."""
-        self.cut.clear()
+        self.cut_links.clear()
 
     def reaches(self, sender: str, address: str) -> bool:
         """Tell whether a message from one instance gets to an address."""
         receiver = self.daemon_by_address.get(address)
         if receiver is None or address in self.frozen or sender in self.frozen:
             return False
-        return (sender, receiver.settings.daemon.id) not in self.cut
+        return (sender, receiver.settings.daemon.id) not in self.cut_links
 
 
 class FakeLink:
@@ -121,7 +121,7 @@
 
         eventlet.spawn_n(serve)
         answer = done.wait(timeout=timeout)
-        if answer is None or type(message) in network.lose_answers:
+        if answer is None or type(message) in network.unanswered_types:
             raise PeerUnreachableError("no answer in time")
         return decode(encode(answer), ANSWER_BY_QUERY[type(message)])
 
@@ -154,12 +154,12 @@
         self.kind = kind
         self.cold = False
         self.in_flight = 0
-        self.most_in_flight = 0
+        self.max_in_flight = 0
         self.calls: list[Call] = []
         self.seconds = 0.0
         self.refuses_connections = False
         self.handle: Callable[[Call], Reply] = lambda call: Reply(200, b"{}")
-        self.load_silent = False
+        self.is_load_unreadable = False
         self.models: list[str] | None = None
 
     def load(self) -> bytes:
@@ -190,7 +190,7 @@
         guard()
         target.calls.append(call)
         target.in_flight += 1
-        target.most_in_flight = max(target.most_in_flight, target.in_flight)
+        target.max_in_flight = max(target.max_in_flight, target.in_flight)
         try:
             with eventlet.Timeout(call.deadline - now()):
                 eventlet.sleep(target.seconds)
@@ -253,19 +253,19 @@
     ) -> None:
         self.network = FakeNetwork()
         self.config = FakePlatform()
-        self.list = FakePlatform()
+        self.instance_list = FakePlatform()
         self.kinds = kinds
         self.timing = timing
         self.target_lines = target_lines
         self.zone_states = dict.fromkeys(ZONES, "in")
         self.targets: dict[str, FakeTarget] = {}
-        self.by_address: dict[Address, FakeTarget] = {}
+        self.target_by_address: dict[Address, FakeTarget] = {}
         for number, zone in enumerate(ZONES):
             for index, kind in enumerate(kinds):
                 target = FakeTarget(f"{kind}-{zone}", kind)
                 self.targets[target.id] = target
                 port = 1000 + 100 * number + index
-                self.by_address[Address("10.0.0.1", port)] = target
+                self.target_by_address[Address("10.0.0.1", port)] = target
         self.daemons: dict[str, Daemon] = {}
         self._started: list[Daemon] = []
         self.instances: dict[str, Instance] = {}
@@ -288,11 +288,11 @@
         )
         interfaces = Interfaces(
             config=self.config.reader(name),
-            instances=self.list.reader(name),
+            instances=self.instance_list.reader(name),
             link_factory=lambda to: FakeLink(self.network, name, to),
             heartbeats=FakeHeartbeats(self.network, name),
             read_load=self._read_load,
-            connections=FakeConnections(self.by_address),
+            connections=FakeConnections(self.target_by_address),
         )
         daemon = Daemon(settings, interfaces, _SILENT)
         self.daemons[name] = daemon
@@ -326,7 +326,7 @@
             f"[zone {z}]\nstate = {state}" for z, state in self.zone_states.items()
         ]
         parts += [f"[team crews]\nkey_digests = {digest_key(KEY)}"]
-        for address, target in self.by_address.items():
+        for address, target in self.target_by_address.items():
             repeatable = "no" if target.kind == "orders" else "yes"
             parts += [
                 f"[target {target.id}]\nzone = {target.id[-1]}\nkind = {target.kind}",
@@ -346,8 +346,10 @@
         for target in self.targets.values():
             state = "leaving" if target.id in leaving else "live"
             by_id[target.id] = Instance(target.id, target.id[-1], "target", state, "")
-        self.list.payload = encode_instances(InstanceList(self.list_version, by_id))
-        return self.list.payload
+        self.instance_list.payload = encode_instances(
+            InstanceList(self.list_version, by_id)
+        )
+        return self.instance_list.payload
 
     def set_cold(self, *target_ids: str) -> None:
         """Have targets turn cold without a word; none named means all."""
@@ -363,8 +365,8 @@
         return [c for t in self.targets.values() if t.kind == kind for c in t.calls]
 
     def _read_load(self, address: Address) -> bytes:
-        target = self.by_address[address]
-        if target.load_silent:
+        target = self.target_by_address[address]
+        if target.is_load_unreadable:
             raise OSError("silent")
         return target.load()
 
--- a/tests/_http.py
+++ b/tests/_http.py
@@ -9,7 +9,7 @@
 from tests._fakes import KEY
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """What a caller gets."""
 
     status: int
@@ -22,7 +22,7 @@
         return msgspec.json.decode(self.body)
 
 
-def ask(
+def send_request(
     daemon: Daemon,
     path: str,
     body: Any = None,
@@ -31,7 +31,7 @@
     key: str = KEY,
     raw: bytes | None = None,
     **headers: str,
-) -> HttpAnswer:
+) -> HttpResponse:
     """Make one request and read its whole answer."""
     payload = raw if raw is not None else msgspec.json.encode(body or {})
     environ = {
@@ -48,4 +48,4 @@
         parts = b"".join(answer)
     finally:
         getattr(answer, "close", lambda: None)()
-    return HttpAnswer(int(began[0].split()[0]), dict(began[1]), parts)
+    return HttpResponse(int(began[0].split()[0]), dict(began[1]), parts)
--- a/tests/_known_red.py
+++ b/tests/_known_red.py
@@ -6,10 +6,10 @@
 from nose2 import result
 from nose2.events import Plugin, StartTestRunEvent, TestOutcomeEvent
 
-LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
+LIST_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def read_names(text: str) -> dict[str, str]:
+def read_known_failures(text: str) -> dict[str, str]:
     """Read a list of known failures.
 
     Args:
@@ -42,11 +42,13 @@
 
     configSection = "known-red"  # noqa: N815
     alwaysOn = True  # noqa: N815
-    list_path: ClassVar[Path] = LIST
+    list_path: ClassVar[Path] = LIST_PATH
 
     def __init__(self) -> None:
         path = self.list_path
-        self._line_by_name = read_names(path.read_text()) if path.exists() else {}
+        self._line_by_name = (
+            read_known_failures(path.read_text()) if path.exists() else {}
+        )
 
     def startTestRun(self, _: StartTestRunEvent) -> None:  # noqa: N802
         """Print what is passed over."""
--- a/tests/_stages.py
+++ b/tests/_stages.py
@@ -5,7 +5,7 @@
 from bergamotsaddle_serving.catalog import Batching
 from bergamotsaddle_serving.messages import StoreEntry
 
-FOUR_A_CALL = Batching(
+FOUR_PER_CALL = Batching(
     slots=1,
     size=4,
     call_seconds=0.15,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,7 +9,7 @@
 from bergamotsaddle_contracts.errors import ANSWERS, ErrorKind
 from bergamotsaddle_daemon.calls import Reply
 from tests._fakes import FakeFleet, run_green
-from tests._http import ask
+from tests._http import send_request
 from tests._paused import advance
 
 PIPELINE = "[pipeline plan]\nstages = encode, rerank\ndeadline = 2s\n"
@@ -29,7 +29,7 @@
             target.handle = lambda call: OUTPUT
 
     def ask(self, path, body=None, *, seconds: float = 5.0, **more):
-        result = run_green(lambda: ask(self.daemon, path, body, **more))
+        result = run_green(lambda: send_request(self.daemon, path, body, **more))
         advance(seconds)
         if result.error:
             raise result.error
@@ -82,7 +82,7 @@
 
     def test_not_ready_before_a_declaration(self):
         fresh = self.world.add_daemon("b1", "b")
-        result = run_green(lambda: ask(fresh, "/v1/services/stock/x"))
+        result = run_green(lambda: send_request(fresh, "/v1/services/stock/x"))
         self.assertEqual((result.value.status, result.value.json["ran"]), (503, "no"))
 
     def test_every_kind_has_an_answer(self):
@@ -144,7 +144,7 @@
         for _ in range(10):
             self.ask("/v1/pipelines/plan", {"input": "x"}, seconds=0.0)
         result = run_green(
-            lambda: ask(self.daemon, "/v1/pipelines/plan", {"input": "x"})
+            lambda: send_request(self.daemon, "/v1/pipelines/plan", {"input": "x"})
         )
         self.assertTrue(result.done)
         self.assertIn(result.value.status, (502, 503))
@@ -180,7 +180,7 @@
         for target in self.world.targets.values():
             target.seconds = 60.0
         result = run_green(
-            lambda: ask(self.daemon, "/v1/pipelines/plan", {"input": "x"})
+            lambda: send_request(self.daemon, "/v1/pipelines/plan", {"input": "x"})
         )
         advance(2.2)
         self.assertTrue(result.done)
@@ -208,7 +208,7 @@
     def test_running_request_is_finished(self):
         for target in self.world.targets.values():
             target.seconds = 1.8
-        running = run_green(lambda: ask(self.daemon, "/v1/services/stock/x"))
+        running = run_green(lambda: send_request(self.daemon, "/v1/services/stock/x"))
         stopped = self.stop()
         advance(1.5)
         self.assertFalse(stopped.done)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 from bergamotsaddle_daemon.calls import Reply
 from bergamotsaddle_daemon.settings import parse_settings
 from tests._fakes import FakeFleet, run_green
-from tests._http import ask
+from tests._http import send_request
 from tests._paused import advance
 from tests.test_declaration import VALID
 
@@ -166,7 +166,9 @@
         daemon = self.world.daemons["a1"]
         for target in self.world.targets.values():
             target.handle = lambda call: Reply(200, b'{"output": 1}')
-        asked = run_green(lambda: ask(daemon, "/v1/pipelines/plan", {"input": "x"}))
+        asked = run_green(
+            lambda: send_request(daemon, "/v1/pipelines/plan", {"input": "x"})
+        )
         request = asked.value.json["request"]
         status, output, _ = run(f"explain {request} --at 127.0.0.1:1")
         self.assertEqual(status, 0)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 from nose2 import result
 from parameterized import parameterized
 
-from tests._known_red import KnownRed, read_names
+from tests._known_red import KnownRed, read_known_failures
 
 LINE = "tests.test_a.ATest.test_b | make test | a request was lost | 22"
 
@@ -16,7 +16,7 @@
 
     def setUp(self):
         self.plugin = KnownRed.__new__(KnownRed)
-        self.plugin._line_by_name = read_names(f"# comment\n\n{LINE}\n")
+        self.plugin._line_by_name = read_known_failures(f"# comment\n\n{LINE}\n")
 
     @parameterized.expand(
         [
@@ -41,4 +41,4 @@
 
     def test_a_line_without_its_issue_is_refused(self):
         with self.assertRaisesRegex(ValueError, "expected test"):
-            read_names("tests.test_a.ATest.test_b | make test | seen")
+            read_known_failures("tests.test_a.ATest.test_b | make test | seen")
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -65,7 +65,7 @@
         answered = [result for result in results if result.error is None]
         self.assertGreater(len(answered), len(results) // 2)
         for target in self.world.targets.values():
-            self.assertLessEqual(target.most_in_flight, 2)
+            self.assertLessEqual(target.max_in_flight, 2)
             self.assertGreater(len(target.calls), 0)
 
     def test_lost_permit_counts_until_the_target_proves_its_end(self):
@@ -123,7 +123,7 @@
     def test_silent_target_frees_nothing(self):
         self.ask()
         self.ask()
-        self.target.load_silent = True
+        self.target.is_load_unreadable = True
         advance(8.0)
         self.assertFalse(self.ask().permit)
 
@@ -228,10 +228,10 @@
         self.assertIn("stale", answer.reason)
 
     def test_home_without_the_platform_stops_granting(self):
-        self.world.list.down = True
+        self.world.instance_list.down = True
         advance(7.0)
         self.assertFalse(self.ask().permit)
-        self.world.list.down = False
+        self.world.instance_list.down = False
         advance(2.0)
         self.assertTrue(self.ask().permit)
 
@@ -283,4 +283,4 @@
                 self.remove_home()
         advance(30.0)
         for target in self.world.targets.values():
-            self.assertLessEqual(target.most_in_flight, 2)
+            self.assertLessEqual(target.max_in_flight, 2)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -25,7 +25,7 @@
 from bergamotsaddle_daemon.streams import GenerationParams, TokenStream
 from bergamotsaddle_daemon.targets import Target
 from tests._fakes import FakeFleet, run_green
-from tests._http import ask
+from tests._http import send_request
 from tests._paused import advance
 
 SETTINGS = parse_settings(
@@ -305,7 +305,7 @@
 
     def plan(self):
         body = {"input": "x"}
-        return run_green(lambda: ask(self.daemon, "/v1/pipelines/plan", body))
+        return run_green(lambda: send_request(self.daemon, "/v1/pipelines/plan", body))
 
     def learn(self):
         for _ in range(5):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,7 +12,7 @@
     QueuedPiece,
     StageQueue,
 )
-from tests._stages import FOUR_A_CALL
+from tests._stages import FOUR_PER_CALL
 
 LARGE = 3_000_000
 BUSY = OtherTarget("a", free_in=0.2, free_bytes=18e6)
@@ -30,14 +30,14 @@
 
 def take(policy, count, *, others):
     """Number of pieces that a target in another zone takes."""
-    queue = StageQueue(FOUR_A_CALL, policy)
+    queue = StageQueue(FOUR_PER_CALL, policy)
     fill(queue, count)
     return len(queue.pop_batch(0.0, 18e6, zone="b", others=others))
 
 
 def take_small_part(policy):
     """Number of pieces taken where room is left for one of six requests."""
-    queue = StageQueue(FOUR_A_CALL, policy)
+    queue = StageQueue(FOUR_PER_CALL, policy)
     for number in range(6):
         key = PieceKey(f"r{number}", 0, 0)
         queue.add(QueuedPiece(key, 0, False, 1.0, 9.0, LARGE, "k", ()))
@@ -46,7 +46,7 @@
 
 def leave(policy):
     """Number of late pieces that leave a long queue."""
-    queue = StageQueue(FOUR_A_CALL, policy)
+    queue = StageQueue(FOUR_PER_CALL, policy)
     fill(queue, 8)
     queue.add(QueuedPiece(PieceKey("s", 0, 0), 0, False, 9.0, 9.0, LARGE, "k", ()))
     return len(queue.pop_expired(2.0))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -49,6 +49,6 @@
         # Addresses change hands when instances are replaced; a report from whoever
         # listens there now must not pass for this target's.
         target = self.daemon.targets.by_id["kind-00-a"]
-        self.fleet.by_address[target.declared.address].id = "somebody-else"
+        self.fleet.target_by_address[target.declared.address].id = "somebody-else"
         advance(4.0)
         self.assertTrue(target.is_cold())
--- a/tests/test_stage_owner.py
+++ b/tests/test_stage_owner.py
@@ -31,7 +31,7 @@
 from bergamotsaddle_serving.target_crashes import TargetCrashes
 from bergamotsaddle_serving.view import View
 from tests._paused import advance, settle
-from tests._stages import BATCHING, FOUR_A_CALL, target_entry
+from tests._stages import BATCHING, FOUR_PER_CALL, target_entry
 
 CONFIG = {
     "version": 1,
@@ -249,7 +249,7 @@
         Waiting only for news that come after the pause, it would leave its target idle
         for a quarter of a second beside a full queue.
         """
-        queue = ServiceQueue("encode", FOUR_A_CALL, FULL_POLICY)
+        queue = ServiceQueue("encode", FOUR_PER_CALL, FULL_POLICY)
         for number in range(100):
             key = PieceKey(f"r{number}", 0, 0)
             queue.queue.add(QueuedPiece(key, 0, False, 9.0, 9.0, 9_000_000, "k", ()))
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -13,7 +13,7 @@
     StageQueue,
     isolate_suspects,
 )
-from tests._stages import FOUR_A_CALL
+from tests._stages import FOUR_PER_CALL
 
 LARGE = 3_000_000
 SMALL = 8_000
@@ -76,7 +76,7 @@
         ]
     )
     def test_first(self, _, first, second):
-        queue = StageQueue(FOUR_A_CALL._replace(size=1))
+        queue = StageQueue(FOUR_PER_CALL._replace(size=1))
         queue.add(second)
         queue.add(first)
         self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["a"])
@@ -91,7 +91,7 @@
         Were single pieces taken as they fit, two requests would each hold two results
         and wait for the third; their callers would give up with nothing.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for request in "abcdef":
             for number in range(3):
                 queue.add(piece(request, number, result_bytes=LARGE))
@@ -117,7 +117,7 @@
 
         A call with nothing but what fits keeps the target busy.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(3):
             queue.add(piece("large", number, result_bytes=LARGE))
         queue.add(piece("small", urgency=2))
@@ -129,7 +129,7 @@
         Small results take a thousandth of the room. Without any left they would wait
         until the large ones are given up, and half of the call's places stay empty.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(3):
             queue.add(piece(f"large{number}", result_bytes=LARGE))
         for number in range(6):
@@ -139,7 +139,7 @@
 
     def test_a_result_that_fills_a_target_is_made_beside_small_ones(self):
         """A result takes all of a target's room, and small ones wait all the time."""
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=18_000_000))
         queue.add(piece("small", urgency=1))
         self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["large"])
@@ -150,7 +150,7 @@
         A call costs as much as five pieces; one that carries a single piece of the
         many that wait halves what the target does in a burst.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for request in "abcdef":
             queue.add(piece(request, result_bytes=LARGE))
         self.assertEqual(queue.pop_batch(0.0, 4e6, may_wait=True), [])
@@ -158,14 +158,14 @@
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, may_wait=True)), 4)
 
     def test_what_cannot_be_done_in_time_is_taken_out(self):
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a", expires_at=0.1))
         queue.add(piece("b", expires_at=1.0))
         self.assertEqual(requests(queue.pop_expired(0.0)), ["a"])
         self.assertEqual(requests(queue.pop_batch(0.0, 18e6)), ["b"])
 
     def test_cancelled_requests_leave(self):
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a"))
         queue.add(piece("b"))
         queue.cancel("a")
@@ -177,7 +177,7 @@
         What is left of it is gone; an owner that still counted on it would stop calling
         its targets.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(6):
             queue.add(piece("a", number, result_bytes=LARGE))
         self.assertEqual(len(queue.pop_batch(0.0, 18e6)), 4)
@@ -191,13 +191,13 @@
         Taking an old piece for the new one would hand out a result that was given up,
         and the request would fail once more.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a"))
         queue.add(piece("a", key=PieceKey("a", 0, 0, 1)))
         self.assertEqual(len(queue), 2)
 
     def test_drain_counts_urgencies_apart(self):
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(8):
             queue.add(piece("a", number, urgency=2))
         drains = queue.drains(1, 0.1, 1.0)
@@ -211,7 +211,7 @@
         Summaries are more urgent. Did each of them go ahead, the chat would hold the
         result of its first stage until it expires, and all work for it would be lost.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("chat", urgency=2, has_started=True, objective_at=1.0))
         for number in range(8):
             due = 1.2 + 0.1 * number
@@ -228,7 +228,7 @@
         Told the same wait, fresh ones would be admitted in front of a queue that goes
         before them, and end late.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(4):
             queue.add(piece("begun", number, urgency=2, has_started=True))
             queue.add(piece("fresh", number, urgency=0))
@@ -243,7 +243,7 @@
         Those that can still be on time go ahead of them; they would wait until their
         callers give up, instead of being told to come back.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(12):
             queue.add(piece(f"r{number}", objective_at=5.0))
         queue.add(piece("late", objective_at=1.0))
@@ -262,7 +262,7 @@
         anywhere: their move costs less than the wait.
         """
         busy = OtherTarget("a", free_in=0.2, free_bytes=18e6)
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         queue.add(piece("small", zone="a", zone_bytes=SMALL))
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[busy])
@@ -276,7 +276,7 @@
         Their results are small, but 8 MB would cross zones for one request.
         """
         free = OtherTarget("a", free_in=0.1, free_bytes=18e6)
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a", has_started=True, zone="a", zone_bytes=480_000))
         self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[free]), [])
         batch = queue.pop_batch(0.0, 18e6, zone="a")
@@ -288,7 +288,7 @@
         Done in another zone, the other two would have the next stage fetch its inputs
         from two zones.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(6):
             queue.add(piece("a", number))
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, zone="a")), 4)
@@ -298,7 +298,7 @@
         self.assertEqual(len(batch), 2)
 
     def test_large_results_leave_a_zone_without_a_target(self):
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         other = OtherTarget("c", free_in=0.0, free_bytes=18e6)
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[other])
@@ -310,7 +310,7 @@
         Were a stage begun only if one target held all of it, such requests would wait
         until their callers leave.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(8):
             queue.add(piece("a", number, result_bytes=LARGE))
         self.assertEqual(queue.pop_batch(0.0, 18e6), [])
@@ -324,7 +324,7 @@
         Begun together, each would hold a part and wait for what only the other gives
         up.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for request in "ab":
             for number in range(8):
                 queue.add(piece(request, number, result_bytes=LARGE))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 from bergamotsaddle_daemon.request import Request
 from bergamotsaddle_daemon.streams import GenerationParams, TokenStream
 from tests._fakes import FakeFleet, run_green
-from tests._http import ask
+from tests._http import send_request
 from tests._paused import advance
 
 PIPELINE = "[pipeline plan]\nstages = generate\nmodel = m\ndeadline = 4s\n"
@@ -84,7 +84,9 @@
 
     def plan(self, stream: bool = True):
         body = {"input": "pens", "stream": stream, "max_tokens": 6}
-        result = run_green(lambda: ask(self.daemon, "/v1/pipelines/plan", body))
+        result = run_green(
+            lambda: send_request(self.daemon, "/v1/pipelines/plan", body)
+        )
         advance(5.0)
         self.assertIsNone(result.error)
         return result.value
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -125,7 +125,7 @@
         # elsewhere and is told "not run". When the issuer is heard again its start
         # must be refused.
         everyone = ["b1", "c1"]
-        self.world.network.separate(["a1"], everyone)
+        self.world.network.partition(["a1"], everyone)
         advance(3.0)
         self.assertEqual(self.ask(self.other).state, NOT_RUN)
         self.world.network.heal()
@@ -145,7 +145,7 @@
     def test_no_acknowledgement_no_run(self):
         # The witness took note but its answer was lost. Sending anyway would be
         # right this time and wrong when the note was lost too.
-        self.world.network.lose_answers.add(StartRecord)
+        self.world.network.unanswered_types.add(StartRecord)
         self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
@@ -214,7 +214,7 @@
     def test_zone_cut_off_has_no_witness(self):
         # A zone cut off goes on booking, at most once, and says that the outcome
         # would be lost with the issuer.
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         advance(3.0)
         _, self.ticket = self.issuer.tickets.issue("crews", "orders")
         self.assertEqual(self.ticket.witness, "")
@@ -283,7 +283,7 @@
         # The issuer could not reach its witness and said "not run". After its stop
         # the witness must not run that ticket; the model checker found this one.
         witness = self.witness.settings.daemon.id
-        self.world.network.separate(["a1"], [witness])
+        self.world.network.partition(["a1"], [witness])
         self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
         advance(2.0)
         self.world.network.heal()
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -91,7 +91,7 @@
     def test_cut_off_and_returning(self):
         # An instance is cut off from everybody while a change is made. On its
         # return it must take the change over and not spread its own old state.
-        self.world.network.separate(["c1"], ["a1", "b1"])
+        self.world.network.partition(["c1"], ["a1", "b1"])
         self.world.config.down_readers = {"c1"}
         self.world.publish(2)
         advance(5.0)
@@ -132,7 +132,7 @@
 
     def test_start_with_silent_peers(self):
         # A whole zone starts cut off from the others; it serves what it can.
-        self.world.network.separate(["c1"], ["a1", "b1"])
+        self.world.network.partition(["c1"], ["a1", "b1"])
         self.world.kill("c1")
         fresh = self.world.add_daemon("c1", "c")
         self.world.publish_list()
@@ -143,16 +143,16 @@
         self.assertTrue(fresh.is_ready())
 
     def test_old_list_is_not_taken(self):
-        old = self.world.list.payload
+        old = self.world.instance_list.payload
         self.world.publish_list()
         advance(1.0)
-        self.world.list.payload = old
+        self.world.instance_list.payload = old
         advance(1.0)
         versions = [d.views.instances.version for d in self.world.daemons.values()]
         self.assertEqual(versions, [2, 2, 2])
 
     def test_malformed_list_changes_nothing(self):
-        self.world.list.payload = b'{"version": "x"}'
+        self.world.instance_list.payload = b'{"version": "x"}'
         advance(1.0)
         daemon = self.world.daemons["a1"]
         self.assertEqual(daemon.views.instances.version, 1)
@@ -175,7 +175,7 @@
 
     def test_stale_when_cut_off(self):
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         self.assertTrue(self.daemon.views.is_stale())
 
@@ -183,7 +183,7 @@
         # Heartbeats wait in the socket while the process is paused. Read after the
         # pause they look new, and would make an old view look confirmed.
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         peer = self.daemon.peers.by_id["b1"]
         waiting = Heartbeat(
             "b1",
@@ -207,7 +207,7 @@
         # Both instances were paused, as on one machine. The peer's heartbeat is new
         # but what it knows is as old as the pause.
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["c1"])
+        self.world.network.partition(["a1"], ["c1"])
         peer = self.daemon.peers.by_id["b1"]
         freeze(30.0)
         fresh = self.daemon.peers._make_heartbeat(peer)
@@ -225,7 +225,7 @@
         # Peers echo the clock of this instance's earlier process, which may have
         # been far ahead on another machine.
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         advance(10.0)
         self.daemon.peers.handle_heartbeat(
             Heartbeat("b1", "x", 1.0, 9e9, "earlier", 0.0, 1, "", 1, False, True, ())
@@ -249,7 +249,7 @@
         # A zone's only instance is cut off from everybody. Waiting half a second in
         # each stage would use up its callers' deadlines for nothing.
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         first = run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         self.assertFalse(first.done)
@@ -259,7 +259,7 @@
 
     def test_waits_again_after_a_pause(self):
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         advance(0.6)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -85,7 +85,7 @@
         # meanwhile, so even reachable targets there get nothing from here: without
         # reports they count as cold, and their homes can't be asked for permits.
         self.world.config.down = True
-        self.world.network.separate(["a1"], ["b1", "c1"])
+        self.world.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         result = call(self.daemon)
         advance(0.6)
@@ -170,8 +170,8 @@
 
     def test_also_where_the_list_lags(self):
         # One instance's view of the list lags behind the others'.
-        old = self.world.list.payload
-        self.world.list.payload_by_reader = {"a1": old}
+        old = self.world.instance_list.payload
+        self.world.instance_list.payload_by_reader = {"a1": old}
         self.world.publish_list(leaving=("stock-a",))
         advance(2.0)
         call(self.world.daemons["a1"])
@@ -180,9 +180,11 @@
 
     def test_dropped_from_the_declaration(self):
         self.world.targets.pop("stock-a")
-        address = next(a for a, t in self.world.by_address.items() if t is self.target)
-        kept = {a: t for a, t in self.world.by_address.items() if a != address}
-        self.world.by_address = kept
+        address = next(
+            a for a, t in self.world.target_by_address.items() if t is self.target
+        )
+        kept = {a: t for a, t in self.world.target_by_address.items() if a != address}
+        self.world.target_by_address = kept
         self.world.publish(2)
         advance(1.5)
         for daemon in self.world.daemons.values():
