--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -369,7 +369,7 @@
     def _read_load(self, address: Address) -> bytes:
         target = self.target_by_address[address]
         if target.is_load_unreadable:
-            raise OSError("no load report")
+            raise OSError("silent")
         return target.load()
 
 
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams that many peers send to one instance."""
+"""Datagrams from many peers to one instance."""
 
 import unittest
 from unittest import mock
@@ -14,7 +14,7 @@
 
 
 class DatagramSocketTest(unittest.TestCase):
-    """A socket that reads and one that sends."""
+    """One receiving and one sending socket."""
 
     def setUp(self):
         use_paused_clock()
@@ -22,7 +22,7 @@
         self.reader = DatagramSocket(HOST, 0)
         self.address = self.reader._socket.getsockname()
         self.sender = DatagramSocket(HOST, 0)
-        self.got = []
+        self.received = []
         self.thread = eventlet.spawn(self._read)
 
     def tearDown(self):
@@ -35,10 +35,10 @@
     def _read(self):
         self.reader.open()
         for data, _ in self.reader.read():
-            self.got.append(data)
+            self.received.append(data)
 
     def test_datagrams_are_read_with_one_registration(self):
-        """Guards against two calls of the system besides each datagram's own."""
+        """Guards against two extra system calls for each datagram received."""
         settle()
         hub = hubs.get_hub()
         with mock.patch.object(hub, "add", wraps=hub.add) as add:
@@ -47,5 +47,5 @@
                 if number % 10 == 0:
                     settle()
             settle()
-        self.assertEqual(self.got, [b"%d" % number for number in range(COUNT)])
+        self.assertEqual(self.received, [b"%d" % number for number in range(COUNT)])
         add.assert_not_called()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Log lines and what is kept of them."""
+"""Decisions in the log, and those kept for queries."""
 
 import io
 import unittest
@@ -11,7 +11,7 @@
 
 
 class DecisionLogTest(unittest.TestCase):
-    """One line a decision, the latest kept by request."""
+    """One log line for each decision; the latest are kept by request."""
 
     def setUp(self):
         self.output = io.BytesIO()
@@ -21,7 +21,7 @@
             logger.info("starting")
         self.log = DecisionLog(SETTINGS, logger)
 
-    def test_line_has_what_operators_need(self):
+    def test_line_names_instance_request_choice_and_candidates(self):
         self.log.record("r1", "route", "engine-1", "least loaded of 3", 3)
         lines = [msgspec.json.decode(x) for x in self.output.getvalue().splitlines()]
         line = lines[-1]
--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -1,4 +1,4 @@
-"""Declarations: what operators may write and how faults are reported."""
+"""Declarations: their valid contents, and how faults are reported."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
 
 def faults_of(text: str) -> list[tuple[str, str]]:
-    """Section and key of each fault."""
+    """Return the section and key of each fault."""
     try:
         parse_declaration(text, name="file.ini")
     except InvalidFileError as error:
@@ -43,7 +43,7 @@
 
 
 class DeclarationTest(unittest.TestCase):
-    """What is taken and what is refused."""
+    """Valid and invalid declarations."""
 
     def test_valid(self):
         declaration = parse_declaration(VALID)
@@ -78,7 +78,7 @@
         self.assertIn(old, VALID)
         self.assertIn(place, faults_of(VALID.replace(old, new)))
 
-    def test_every_fault_in_one_run(self):
+    def test_every_fault_is_reported_at_once(self):
         text = VALID.replace("state = out", "state = off")
         text = text.replace("deadline = 1500ms", "deadline = soon")
         text = text.replace("repeatable = no", "repeatable = never")
@@ -108,7 +108,7 @@
 
 
 class ChangeTest(unittest.TestCase):
-    """Reading a file against the one before comes to the same as reading it whole."""
+    """Parsing with a previous declaration gives the same as parsing without one."""
 
     @params(
         ("revision = 3", "revision = 4"),
@@ -119,20 +119,20 @@
         ("[pipeline plan]", "[model m]\n[pipeline plan]"),
         ("stages = encode", "stages = encode\n  , encode"),
     )
-    def test_same_as_whole(self, old, new):
+    def test_same_as_without_previous(self, old, new):
         before = parse_declaration(VALID)
         text = VALID.replace(old, new)
         try:
-            whole = parse_declaration(text)
+            expected = parse_declaration(text)
         except InvalidFileError as error:
             with self.assertRaises(InvalidFileError) as caught:
                 parse_declaration(text, previous=before)
             self.assertEqual(caught.exception.faults, error.faults)
             return
-        self.assertEqual(parse_declaration(text, previous=before), whole)
+        self.assertEqual(parse_declaration(text, previous=before), expected)
 
-    def test_fault_by_an_unchanged_section(self):
-        # A zone is dropped and a target, whose section is as before, still names it.
+    def test_fault_in_an_unchanged_section(self):
+        # A zone is removed, and the unchanged section of a target still names it.
         before = parse_declaration(VALID)
         text = VALID.replace("[zone a]\n", "")
         with self.assertRaises(InvalidFileError) as caught:
--- a/tests/test_deferred.py
+++ b/tests/test_deferred.py
@@ -1,4 +1,4 @@
-"""Modules that are executed at their first use."""
+"""Modules that are executed at the first access to an attribute."""
 
 import sys
 import tempfile
@@ -11,17 +11,17 @@
 
 
 class DeferTest(unittest.TestCase):
-    """A module in a folder of its own."""
+    """A module in a temporary directory."""
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
         self.addCleanup(sys.modules.pop, NAME, None)
-        self.addCleanup(sys.path.remove, folder.name)
-        sys.path.insert(0, folder.name)
-        Path(folder.name, f"{NAME}.py").write_text("import sys\nvalue = 3\n")
+        self.addCleanup(sys.path.remove, directory.name)
+        sys.path.insert(0, directory.name)
+        Path(directory.name, f"{NAME}.py").write_text("import sys\nvalue = 3\n")
 
-    def test_imports_execute_nothing_and_a_use_does(self):
+    def test_an_import_executes_nothing_and_an_access_does(self):
         defer(NAME)
         __import__(NAME)
         module = sys.modules[NAME]
@@ -30,11 +30,11 @@
         with self.assertRaises(AttributeError):
             _ = module.other
 
-    def test_a_loaded_module_stays(self):
+    def test_a_loaded_module_is_kept(self):
         loaded = __import__(NAME)
         defer(NAME)
         self.assertIs(sys.modules[NAME], loaded)
 
-    def test_a_missing_module_is_told(self):
+    def test_a_missing_module_raises(self):
         with self.assertRaises(ModuleNotFoundError):
             defer("no_such_module_for_test")
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -1,4 +1,4 @@
-"""A request under which targets end, and those that ran beside it."""
+"""A request that crashes targets, and the requests that ran beside it."""
 
 import random
 import unittest
@@ -13,14 +13,14 @@
 FATAL = b"/fatal"
 TARGETS = 9
 TRIES = 8
-# After the third target has ended, and the news had this long to spread, so many more
-# tries may reach targets at most.
+# Once the third target has crashed and gossip had SPREAD_S to reach all instances, at
+# most MAX_LATE_TRIES further tries may reach targets.
 SPREAD_S = 3.0
-MOST_LATE_TRIES = 3
+MAX_LATE_TRIES = 3
 
 
 def late_tries(fleet):
-    """Tries of the fatal request that reached targets once its harm was known."""
+    """Return the tries of the fatal request that reached targets too late."""
     arrivals = sorted(
         arrival
         for target in fleet.targets
@@ -32,7 +32,7 @@
 
 
 class FatalRequestTest(unittest.TestCase):
-    """A caller sends a request that ends each target which runs it, again and again."""
+    """A caller repeats a request that crashes every target which runs it."""
 
     def setUp(self):
         use_paused_clock()
@@ -41,7 +41,7 @@
 
     @parameterized.expand([("small", 7), ("middle", 66), ("large", 195)])
     def test_a_fatal_request_stops_reaching_targets(self, _, size):
-        """Guards against each try of a fatal request being some instance's first."""
+        """Guards against instances that each have to see the request crash a target."""
         fleet = VirtualFleet(size, targets=TARGETS)
         fleet.targets.fatal_paths.add(FATAL)
         fleet.start()
@@ -49,11 +49,11 @@
         for _ in range(TRIES):
             fleet.ask(random.randrange(size), FATAL, b"body")
             advance(1.0)
-        self.assertLessEqual(len(late_tries(fleet)), MOST_LATE_TRIES)
+        self.assertLessEqual(len(late_tries(fleet)), MAX_LATE_TRIES)
         self.assertLessEqual(fleet.targets.ended, 3)
 
-    def test_many_callers_at_once_and_those_beside_them(self):
-        """Guards against innocent requests that are held back with a fatal one."""
+    def test_many_callers_at_once_and_requests_beside_them(self):
+        """Guards against other requests that are quarantined with a fatal one."""
         fleet = VirtualFleet(7, targets=TARGETS)
         fleet.targets.fatal_paths.add(FATAL)
         fleet.start()
@@ -64,19 +64,23 @@
                 for _ in range(3):
                     fleet.ask(random.randrange(7), FATAL, b"body")
             for number in range(8):
-                # Half of them are one popular question, the others each their own.
+                # Half of them are one popular request, the others are all different.
                 path = b"/popular" if number % 2 else b"/own/%d/%d" % (step, number)
                 others.append(fleet.ask(random.randrange(7), path, b"body"))
             advance(0.2)
         advance(8.0)
-        self.assertLessEqual(len(late_tries(fleet)), MOST_LATE_TRIES)
-        held = {work for i in fleet.instances for work in i.suspects.quarantined()}
-        self.assertEqual(len(held), 1)
+        self.assertLessEqual(len(late_tries(fleet)), MAX_LATE_TRIES)
+        quarantined = {
+            fingerprint
+            for instance in fleet.instances
+            for fingerprint in instance.suspects.quarantined()
+        }
+        self.assertEqual(len(quarantined), 1)
         refused = [caller for caller in others if caller.status == 503]
         self.assertEqual(refused, [])
 
-    def test_ordinary_ends_hold_nothing_back(self):
-        """Guards against suspicion where targets end by themselves."""
+    def test_ordinary_crashes_quarantine_nothing(self):
+        """Guards against quarantines where targets crash for other reasons."""
         fleet = VirtualFleet(7, targets=TARGETS, back_after=1.0)
         fleet.start()
         advance(2.0)
@@ -90,24 +94,28 @@
                 fleet.targets.end(target, target.life)
             advance(0.1)
         advance(8.0)
-        held = {work for i in fleet.instances for work in i.suspects.quarantined()}
-        self.assertEqual(held, set())
+        quarantined = {
+            fingerprint
+            for instance in fleet.instances
+            for fingerprint in instance.suspects.quarantined()
+        }
+        self.assertEqual(quarantined, set())
 
-    def test_no_stage_is_run_again_for_a_request_that_is_held_back(self):
-        """Guards against stage work that is thrown away for a fatal request."""
+    def test_no_stage_is_run_again_for_a_quarantined_request(self):
+        """Guards against stage work that is wasted on a fatal request."""
         fleet = VirtualFleet(7, targets=TARGETS)
         fleet.targets.fatal_paths.add(FATAL)
         fleet.start()
         advance(2.0)
-        were_held = []
+        were_quarantined = []
 
         def run_stages(run, choice):
             suspects = run._server.suspects
-            were_held.append(suspects.is_quarantined(run._context.fingerprint))
+            were_quarantined.append(suspects.is_quarantined(run._context.fingerprint))
 
         with mock.patch.object(streams._StreamRun, "_run_stages", run_stages):
             for number in range(4):
                 fleet.ask(number, FATAL, b"body")
                 advance(1.0)
         self.assertEqual(fleet.targets.ended, 3)
-        self.assertNotIn(True, were_held)
+        self.assertNotIn(True, were_quarantined)
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -1,4 +1,4 @@
-"""When results that a request uses are given up."""
+"""When the results that a request uses are discarded."""
 
 import unittest
 from unittest import mock
@@ -18,19 +18,19 @@
 
 
 class SlowConnection:
-    """A connection that takes time to make and ends without an answer."""
+    """A connection that takes time to open and is lost before a response."""
 
     def acquire(self, address, *, limit):
-        """Make it."""
+        """Open the connection."""
         eventlet.sleep(CONNECT_S)
         return self
 
     def send(self, call, *, limit):
-        """Take a request at once, as a kernel's buffer does."""
+        """Accept a request at once, as a kernel's send buffer does."""
         return REQUEST_BYTES
 
     def read_head(self, *, limit):
-        """Break off."""
+        """Lose the connection."""
         raise ConnectionLostError("reset")
 
     def close(self):
@@ -38,20 +38,20 @@
 
 
 class FetchingTest(unittest.TestCase):
-    """Inputs of a request on its way to an engine."""
+    """Inputs of a request that is being sent to an engine."""
 
     @parameterized.expand([("weak", 10.0), ("strong", 200.0), ("fast", 1_000.0)])
-    def test_a_request_leaves_before_its_inputs_are_given_up(self, _, link_mbps):
-        """Guards against engines that find the inputs gone when a request arrives."""
+    def test_a_request_is_sent_before_its_inputs_are_discarded(self, _, link_mbps):
+        """Guards against inputs that are discarded before their request arrives."""
         times = FetchTimes(link_mbps)
         alone = REQUEST_BYTES * BITS_PER_BYTE / (link_mbps * 1e6)
         extra = times.seconds(0, REQUEST_BYTES) - times.seconds(0, 0)
-        # Two other requests may be on the link as well.
+        # Two other requests may use the link at the same time.
         self.assertGreaterEqual(extra, 3 * alone)
 
-    def test_the_time_counts_from_when_the_request_was_sent(self):
-        """Guards against inputs that are given up while a connection is made."""
-        began_at = now()
+    def test_the_time_starts_when_the_request_is_sent(self):
+        """Guards against inputs that are discarded while a connection is opened."""
+        started_at = now()
         sent = []
         attempt = Attempt(
             mock.MagicMock(), mock.MagicMock(), SlowConnection(), mock.MagicMock()
@@ -62,7 +62,7 @@
                 attempt.send(
                     mock.MagicMock(),
                     limit=1.0,
-                    on_sent=lambda size: sent.append((size, now() - began_at)),
+                    on_sent=lambda size: sent.append((size, now() - started_at)),
                 )
 
         eventlet.spawn_n(send)
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Recognising a request that comes again."""
+"""Recognising a request that is sent again."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    """What makes two requests the same work."""
+    """Which differences between two requests change the fingerprint."""
 
     @parameterized.expand(
         [
@@ -29,11 +29,11 @@
             ("another_body", HEAD, TEAM, BODY[:-1], False),
         ]
     )
-    def test_same_work(self, _, head, team, body, is_same):
+    def test_same_fingerprint(self, _, head, team, body, is_same):
         first = fingerprint(HEAD, TEAM, BODY)
         self.assertEqual(fingerprint(head, team, body) == first, is_same)
 
-    def test_parts_do_not_run_into_each_other(self):
+    def test_adjacent_parts_are_separated(self):
         one = fingerprint(HEAD._replace(path=b"/ab"), Team("c"), b"")
         other = fingerprint(HEAD._replace(path=b"/a"), Team("bc"), b"")
         self.assertNotEqual(one, other)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of targets and requests."""
+"""Facts about targets and requests that instances share by gossip."""
 
 import random
 import unittest
@@ -16,26 +16,26 @@
 
 
 class Instance:
-    """One instance's facts, and what its watcher heard."""
+    """The facts of one instance, and the changes that its subscriber received."""
 
     def __init__(self):
         self.gossip = Gossip()
-        self.heard = []
-        self.gossip.subscribe(TOPIC, lambda *change: self.heard.append(change))
+        self.changes = []
+        self.gossip.subscribe(TOPIC, lambda *change: self.changes.append(change))
 
     def value(self, key):
         return self.gossip.value(TOPIC, key)
 
 
 class GossipTest(unittest.TestCase):
-    """One instance's facts."""
+    """The facts of one instance."""
 
     def setUp(self):
         use_paused_clock()
         self.instance = Instance()
         self.gossip = self.instance.gossip
 
-    def test_only_news_is_told(self):
+    def test_only_changes_are_reported(self):
         self.assertEqual(self.gossip.record(TOPIC, "k", 1.0), Fact("t", "k", 1.0, 0.0))
         self.assertIsNone(self.gossip.record(TOPIC, "k", 1.0))
         self.assertEqual(self.gossip.record(TOPIC, "k", 2.0), Fact("t", "k", 2.0, 0.0))
@@ -53,19 +53,19 @@
         self.gossip.merge([Fact("t", "k", 2.0, age)])
         self.assertEqual(self.instance.value("k"), value)
 
-    def test_a_fact_is_forgotten_at_its_age_wherever_it_was_heard(self):
-        """Guards against facts that look younger at each hop and never end."""
+    def test_a_fact_expires_at_its_age_through_any_peer(self):
+        """Guards against facts that look younger at each hop and never expire."""
         self.gossip.merge([Fact("t", "k", 1.0, 50.0)])
         advance(9.0)
         self.gossip.merge([Fact("t", "k", 1.0, 58.95)])
         advance(1.2)
         self.gossip.drop_expired()
         self.assertIsNone(self.instance.value("k"))
-        self.assertEqual(self.instance.heard, [("k", 1.0), ("k", None)])
+        self.assertEqual(self.instance.changes, [("k", 1.0), ("k", None)])
         self.gossip.merge([Fact("t", "k", 1.0, 60.5)])
         self.assertIsNone(self.instance.value("k"))
 
-    def test_too_many_facts_push_out_those_of_least_worth(self):
+    def test_facts_of_lowest_priority_are_evicted(self):
         gossip = Gossip()
         gossip.subscribe(TOPIC, lambda *_: None, priority=lambda key: float(key))
         for key in ("5", "1", "4", "2", "3"):
@@ -83,18 +83,18 @@
         self.assertNotEqual(self.gossip.digest, other.digest)
 
 
-def lossy(carry, part):
-    """A network that loses a part of its datagrams."""
+def make_lossy(carry, loss):
+    """Wrap a network's delivery so that it loses a fraction of the datagrams."""
 
-    def carry_most(*datagram):
-        if random.random() >= part:
+    def carry_some(*datagram):
+        if random.random() >= loss:
             carry(*datagram)
 
-    return carry_most
+    return carry_some
 
 
-class SpreadTest(unittest.TestCase):
-    """A fleet on one clock."""
+class DisseminationTest(unittest.TestCase):
+    """Facts in a fleet whose instances share one clock."""
 
     def setUp(self):
         use_paused_clock()
@@ -113,52 +113,52 @@
         fact = self.instances[number].gossip.record(TOPIC, key, 1.0)
         self.exchanges[number].publish([fact])
 
-    def knowing(self, key):
+    def count_knowing(self, key):
         return sum(instance.value(key) is not None for instance in self.instances)
 
     @parameterized.expand([("small", 7), ("middle", 66)])
-    def test_all_know_at_once(self, _, size):
+    def test_all_instances_learn_a_fact_at_once(self, _, size):
         self.start(size)
         advance(2.0)
         self.observe(0, "k")
         advance(0.1)
-        self.assertEqual(self.knowing("k"), size)
+        self.assertEqual(self.count_knowing("k"), size)
 
     @parameterized.expand([("small", 7), ("middle", 66)])
-    def test_lost_datagrams_are_made_up_for(self, _, size):
-        """Guards against instances that miss a fact for good, or for seconds."""
+    def test_facts_in_lost_datagrams_arrive_later(self, _, size):
+        """Guards against instances that miss a fact for ever, or for seconds."""
         random.seed(30)
         self.start(size)
         advance(2.0)
         for peers in self.fleet:
-            peers._carry = lossy(peers._carry, 0.1)
+            peers._carry = make_lossy(peers._carry, 0.1)
         for number in range(12):
             self.observe(number % size, f"k{number}")
             advance(0.5)
         advance(3.0)
-        # Four facts fit into the topic; all instances keep the same ones.
-        known = [self.knowing(f"k{number}") for number in range(12)]
+        # The topic holds four facts; all instances keep the same ones.
+        known = [self.count_knowing(f"k{number}") for number in range(12)]
         self.assertEqual(known, [0] * 8 + [size] * 4)
 
-    def test_a_zone_that_was_cut_off_learns_what_it_missed(self):
+    def test_a_zone_that_was_cut_off_receives_missed_facts(self):
         self.start(8)
         advance(2.0)
         self.fleet.cut_off("a")
         self.observe(1, "outside")
         self.observe(0, "inside")
         advance(5.0)
-        self.assertEqual(self.knowing("outside"), 6)
-        self.assertEqual(self.knowing("inside"), 2)
+        self.assertEqual(self.count_knowing("outside"), 6)
+        self.assertEqual(self.count_knowing("inside"), 2)
         self.fleet.heal()
         advance(2.0)
-        self.assertEqual(self.knowing("outside"), 8)
-        self.assertEqual(self.knowing("inside"), 8)
+        self.assertEqual(self.count_knowing("outside"), 8)
+        self.assertEqual(self.count_knowing("inside"), 8)
 
-    def test_facts_that_differ_for_long_are_told_ever_less_often(self):
-        """Guards against instances that send all they know once a second for ever."""
+    def test_lasting_differences_are_sent_ever_less_often(self):
+        """Guards against instances that send all their facts every second for ever."""
         self.start(2)
         advance(2.0)
-        # The second instance knows no such topic, so they never hold the same.
+        # The second instance lacks the topic, so their facts always differ.
         self.instances[1].gossip._table_by_topic.clear()
         self.observe(0, "k")
         sent = mock.Mock(wraps=self.exchanges[0]._send)
@@ -166,8 +166,8 @@
         advance(60.0)
         self.assertLess(sent.call_count, 9)
 
-    def test_an_instance_that_starts_later_is_told(self):
+    def test_an_instance_that_starts_later_receives_facts(self):
         self.start(7)
         self.observe(0, "k")
         advance(2.0)
-        self.assertEqual(self.knowing("k"), 7)
+        self.assertEqual(self.count_knowing("k"), 7)
--- a/tests/test_heartbeat_schedule.py
+++ b/tests/test_heartbeat_schedule.py
@@ -16,47 +16,48 @@
 ROUNDS = 70
 
 
-def heard_rounds(greeted, senders, starts):
-    """Rounds in which one peer hears any of some senders."""
+def rounds_with_heartbeat(receiver, senders, starts):
+    """Return the rounds in which one peer receives a heartbeat of any sender."""
     rounds = set()
     for sender, start in zip(senders, starts, strict=True):
-        greetings = HeartbeatSchedule(start)
+        schedule = HeartbeatSchedule(start)
         hosts = [host for host in FLEET if host != sender]
         for number in range(ROUNDS):
-            if greeted in greetings.pick(hosts, owns_queues=False):
+            if receiver in schedule.pick(hosts, owns_queues=False):
                 rounds.add(number)
     return sorted(rounds)
 
 
-class GreetingsTest(unittest.TestCase):
+class HeartbeatScheduleTest(unittest.TestCase):
     """A fleet of 65 instances that send ten heartbeats a round."""
 
-    def test_a_zone_is_heard_all_the_time(self):
-        """All instances start together and greet their peers in the same order.
+    def test_a_zone_is_received_without_long_gaps(self):
+        """Guards against instances that all send heartbeats to the same peers.
 
-        If they also began at the same peer, each would hear nothing for 1.2 s in a
-        row. A zone that was not heard for 0.5 s is asked through its targets, and each
-        of them would answer thousands of such questions on a calm day.
+        All instances start together and go through their peers in the same order. If
+        they also started at the same peer, each would receive nothing for 1.2 s in a
+        row. A zone that sent nothing for 0.5 s is probed through its targets, each of
+        which would answer thousands of probes on a day without faults.
         """
         chance = random.Random(5)
         starts = [chance.getrandbits(16) for _ in ZONE]
-        rounds = heard_rounds(FLEET[40], ZONE, starts)
+        rounds = rounds_with_heartbeat(FLEET[40], ZONE, starts)
         gaps = [b - a for a, b in zip(rounds, rounds[1:], strict=False)]
         self.assertLess(max(gaps) * HEARTBEAT_INTERVAL_S, 0.5)
-        together = heard_rounds(FLEET[40], ZONE, [0] * len(ZONE))
+        together = rounds_with_heartbeat(FLEET[40], ZONE, [0] * len(ZONE))
         gaps = [b - a for a, b in zip(together, together[1:], strict=False)]
         self.assertGreater(max(gaps) * HEARTBEAT_INTERVAL_S, 0.9)
 
     @parameterized.expand([("others", False, 7), ("owners", True, 4)])
-    def test_everybody_is_greeted_in_turn(self, _, owns_queues, rounds):
-        greetings = HeartbeatSchedule(3)
+    def test_every_peer_gets_a_heartbeat_in_turn(self, _, owns_queues, rounds):
+        schedule = HeartbeatSchedule(3)
         hosts = FLEET[1:]
-        greeted = {
+        receivers = {
             host
             for _ in range(rounds)
-            for host in greetings.pick(hosts, owns_queues=owns_queues)
+            for host in schedule.pick(hosts, owns_queues=owns_queues)
         }
-        self.assertEqual(greeted, set(hosts))
+        self.assertEqual(receivers, set(hosts))
 
     @parameterized.expand([("others", False, 5), ("owners", True, 20)])
     def test_a_large_fleet_gets_fewer(self, _, owns_queues, count):
@@ -65,7 +66,7 @@
         picked = HeartbeatSchedule(3).pick(hosts, owns_queues=owns_queues)
         self.assertEqual(len(set(picked)), count)
 
-    def test_a_small_fleet_is_greeted_whole(self):
-        greetings = HeartbeatSchedule()
+    def test_a_small_fleet_gets_heartbeats_in_every_round(self):
+        schedule = HeartbeatSchedule()
         hosts = FLEET[:MAX_HEARTBEATS_PER_ROUND]
-        self.assertEqual(greetings.pick(hosts, owns_queues=False), hosts)
+        self.assertEqual(schedule.pick(hosts, owns_queues=False), hosts)
--- a/tests/test_hub_bridge.py
+++ b/tests/test_hub_bridge.py
@@ -1,4 +1,4 @@
-"""Work that native threads hand to the hub."""
+"""Calls that native threads pass to the hub."""
 
 import unittest
 
@@ -10,50 +10,50 @@
 threading = original("threading")
 time = original("time")
 _PIPE_BYTES = 1 << 16
-_LIMIT = 10.0
+_TIMEOUT_S = 10.0
 
 
 class HubBridgeTest(unittest.TestCase):
-    """A bridge and threads of the operating system."""
+    """A bridge between native threads and the hub."""
 
     def setUp(self):
         self.bridge = HubBridge()
         settle()
 
-    def run_native(self, work) -> None:
-        """Run a function in a native thread while the hub goes on."""
-        thread = threading.Thread(target=work)
+    def run_native(self, function) -> None:
+        """Run a function in a native thread while the hub runs."""
+        thread = threading.Thread(target=function)
         thread.start()
-        began = time.monotonic()
-        while thread.is_alive() and time.monotonic() - began < _LIMIT:
+        started_at = time.monotonic()
+        while thread.is_alive() and time.monotonic() - started_at < _TIMEOUT_S:
             settle()
         thread.join(0)
         self.assertFalse(thread.is_alive())
         settle()
 
-    def test_work_of_a_native_thread_runs_on_the_hub(self):
-        names = []
+    def test_callback_of_a_native_thread_runs_on_the_hub(self):
+        thread_ids = []
         self.run_native(
-            lambda: self.bridge.post(lambda: names.append(threading.get_ident()))
+            lambda: self.bridge.post(lambda: thread_ids.append(threading.get_ident()))
         )
-        self.assertEqual(names, [threading.get_ident()])
+        self.assertEqual(thread_ids, [threading.get_ident()])
 
-    def test_result_and_error_come_back(self):
+    def test_result_and_error_are_returned(self):
         results = []
 
-        def work():
-            results.append(self.bridge.call(lambda: 7, _LIMIT))
+        def call():
+            results.append(self.bridge.call(lambda: 7, _TIMEOUT_S))
             try:
-                self.bridge.call(lambda: 1 / 0, _LIMIT)
+                self.bridge.call(lambda: 1 / 0, _TIMEOUT_S)
             except ZeroDivisionError:
                 results.append("error")
 
-        self.run_native(work)
+        self.run_native(call)
         self.assertEqual(results, [7, "error"])
 
     def test_more_wake_ups_than_the_pipe_holds(self):
-        # The hub is busy while peers answer. A write that waits on the hub would
-        # fail from then on, and every call between instances with it.
+        # The hub is busy while peers respond. A write that blocked on the full pipe
+        # would fail from then on, and with it every call between instances.
         count = _PIPE_BYTES + 100
         done = []
         for _ in range(count):
@@ -61,8 +61,8 @@
         settle()
         self.assertEqual(len(done), count)
 
-    def test_failing_work_does_not_end_the_bridge(self):
-        # One broken callback must not silence all calls between instances.
+    def test_failing_callback_does_not_stop_the_bridge(self):
+        # One failing callback must not stop all calls between instances.
         done = []
         self.bridge.post(lambda: 1 / 0)
         settle()
--- a/tests/test_joint_limits.py
+++ b/tests/test_joint_limits.py
@@ -1,4 +1,4 @@
-"""Limits that hold over all instances, each keeping to its own share."""
+"""Limits on all instances together, of which each applies its own share."""
 
 import unittest
 
@@ -12,52 +12,54 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Repeats when every call fails."""
+    """Retries when every call fails."""
 
     @parameterized.expand([(1,), (9,), (78,)])
     def test_all_instances_together_stay_within_the_budget(self, size):
-        """A service fails every request for half a minute.
+        """Guards against retries that keep a failing service down.
 
-        Each instance repeats what it may; the service must not see more repeats than
-        its budget in any window, or the repeats keep it down.
+        A service fails every request for half a minute, and each instance retries as
+        its budget allows. The service must not get more retries than the budget of the
+        whole fleet in any window.
         """
         budgets = [RetryBudget(BOUNDS, lambda: size) for _ in range(size)]
-        repeats = []
+        retries = []
         for second in range(30):
             for budget in budgets:
                 budget.count_request("s")
                 while budget.try_acquire("s"):
-                    repeats.append(second)
+                    retries.append(second)
             advance(1.0)
-        for begin in range(20):
-            within = sum(begin <= second < begin + 10 for second in repeats)
+        for start in range(20):
+            within = sum(start <= second < start + 10 for second in retries)
             allowed = BOUNDS.retry_ratio * 10 * size + BOUNDS.retry_extra
-            # A fleet that is larger than the extra calls grants one to each.
+            # A fleet of more instances than extra calls grants each of them one.
             self.assertLessEqual(within, max(allowed, size))
 
-    def test_a_quiet_instance_may_repeat_once(self):
+    def test_an_idle_instance_may_retry_once(self):
         self.assertTrue(RetryBudget(BOUNDS, lambda: 500).try_acquire("s"))
 
 
-class ColdPaceTest(unittest.TestCase):
+class ColdRateTest(unittest.TestCase):
     """Requests to a cold target from all instances."""
 
     @parameterized.expand([(1,), (9,), (78,)])
     def test_all_instances_together_stay_within_the_rate(self, size):
-        """A zone's targets come back cold while every instance is busy.
+        """Guards against cold targets that crash under too many requests.
 
-        The bound is one and a half times the rate and five in any second; a target
-        that gets more crashes, and its callers lose it for seconds.
+        The targets of a zone return cold while every instance is busy. The bound is one
+        and a half times the rate plus five in any second; a target that gets more
+        crashes and is missing for seconds.
         """
         rate = 8.8
-        paces = [ColdRateLimiter(lambda: size) for _ in range(size)]
+        limiters = [ColdRateLimiter(lambda: size) for _ in range(size)]
         sent = []
         for tick in range(400):
-            for pace in paces:
-                if pace.may_send("t"):
-                    pace.record_sent("t", rate)
+            for limiter in limiters:
+                if limiter.may_send("t"):
+                    limiter.record_sent("t", rate)
                     sent.append(tick)
             advance(0.01)
-        for begin in range(300):
-            within = sum(begin <= tick < begin + 100 for tick in sent)
+        for start in range(300):
+            within = sum(start <= tick < start + 100 for tick in sent)
             self.assertLessEqual(within, max(rate * 1.5 + 5, size))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures."""
+"""The list of tests that are known to fail."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Outcomes of tests with and without a line."""
+    """Outcomes of tests that are listed or not."""
 
     def setUp(self):
         self.plugin = KnownRed.__new__(KnownRed)
@@ -39,6 +39,6 @@
         self.assertEqual(event.outcome, expected_outcome)
         self.assertEqual(event.expected, is_expected)
 
-    def test_a_line_without_its_issue_is_refused(self):
+    def test_a_line_without_its_issue_is_invalid(self):
         with self.assertRaisesRegex(ValueError, "expected test"):
             read_known_failures("tests.test_a.ATest.test_b | make test | seen")
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""The limits that targets name, as instances learn of them."""
+"""Rate limits that targets announce in their responses."""
 
 import contextlib
 import unittest
@@ -21,7 +21,7 @@
 
 
 class DecodeTest(unittest.TestCase):
-    """The header of an answer."""
+    """The limit in the headers of a response."""
 
     @parameterized.expand(
         [
@@ -40,13 +40,13 @@
 
 
 class NamedLimitsTest(unittest.TestCase):
-    """What holds after some answers."""
+    """The limit in force after a series of responses."""
 
     def setUp(self):
         use_paused_clock()
-        self.told = []
+        self.published = []
         self.gossip = Gossip()
-        self.limits = NamedLimits(self.gossip, self.told.extend, mock.Mock())
+        self.limits = NamedLimits(self.gossip, self.published.extend, mock.Mock())
 
     @parameterized.expand(
         [
@@ -58,32 +58,32 @@
             ("named_anew", [2.0, None, 1.0], 1.0, 3),
         ]
     )
-    def test_the_latest_answer_holds_and_only_news_is_told(
-        self, _, answers, limit, told
+    def test_the_latest_response_holds_and_only_changes_are_published(
+        self, _, limits, expected, published
     ):
-        for answer in answers:
-            self.limits.record(TARGET, answer)
-        self.assertEqual(self.limits.of(TARGET), limit)
-        self.assertEqual(len(self.told), told)
+        for limit in limits:
+            self.limits.record(TARGET, limit)
+        self.assertEqual(self.limits.of(TARGET), expected)
+        self.assertEqual(len(self.published), published)
 
-    def test_a_new_life_under_the_same_id_has_named_nothing(self):
-        """Guards against a limit that outlives the target which named it."""
+    def test_a_new_incarnation_has_no_limit(self):
+        """Guards against a limit that outlives the target which announced it."""
         self.limits.record(TARGET, 1.0)
         self.assertIsNone(self.limits.of(TARGET._replace(started_ms=6)))
         self.limits.keep_only({("t1", 6)})
         self.assertEqual(len(self.limits), 0)
         self.assertEqual(list(self.gossip.facts()), [])
 
-    def test_another_instance_learns_of_it(self):
+    def test_another_instance_receives_the_limit(self):
         other = Gossip()
         limits = NamedLimits(other, lambda facts: None, mock.Mock())
         self.limits.record(TARGET, 1.0)
-        other.merge(self.told)
+        other.merge(self.published)
         self.assertEqual(limits.of(TARGET), 1.0)
 
 
-class AnswerTest(unittest.TestCase):
-    """Which answers begin and end a limit."""
+class ResponseTest(unittest.TestCase):
+    """Which responses set and remove a limit."""
 
     @parameterized.expand(
         [
@@ -94,10 +94,12 @@
             ("misdirected", 421, False, None, []),
         ]
     )
-    def test_only_an_answer_that_ran_ends_a_limit(self, _, status, not_run, limit, got):
-        """Guards against refusals without a limit that let everybody in."""
-        noted = []
-        state = TargetState(TARGET, lambda target, limit: noted.append(limit))
+    def test_only_a_request_that_ran_removes_a_limit(
+        self, _, status, not_run, limit, expected
+    ):
+        """Guards against rejections without a limit that remove the limit."""
+        recorded = []
+        state = TargetState(TARGET, lambda target, limit: recorded.append(limit))
         connection = mock.Mock()
         connection.read_head.return_value = RawResponseHead(status, [])
         dialect = mock.Mock()
@@ -109,4 +111,4 @@
         attempt = Attempt(mock.MagicMock(), state, pool, dialect)
         with contextlib.suppress(NotRunError), attempt:
             attempt.send(mock.MagicMock(), limit=1.0)
-        self.assertEqual(list(dict.fromkeys(noted)), got)
+        self.assertEqual(list(dict.fromkeys(recorded)), expected)
