--- a/tests/test_peer_discovery.py
+++ b/tests/test_peer_discovery.py
@@ -1,4 +1,4 @@
-"""How the instances of a large fleet find and lose each other."""
+"""How the instances of a large fleet discover and lose each other."""
 
 import unittest
 
@@ -14,15 +14,15 @@
 
 
 class DiscoveryTest(unittest.TestCase):
-    """Instances that know only the seeds."""
+    """Instances that know only the seeds at their start."""
 
     def setUp(self):
-        # Green threads of fleets that are done would go on with the clock.
+        # Green threads of fleets of earlier tests would run on with the clock.
         use_paused_clock()
         self.addCleanup(use_paused_clock)
 
     @parameterized.expand([("small", 7), ("large", 66)])
-    def test_a_restarted_fleet_agrees_on_owners_when_it_takes_work(self, _, size):
+    def test_a_restarted_fleet_agrees_on_owners_when_it_accepts_work(self, _, size):
         """Guards against two owners of a queue that call the same targets."""
         fleet = PeerFleet(size)
         fleet.start(within=START_S)
@@ -33,7 +33,7 @@
 
 
 class LargeFleetTest(unittest.TestCase):
-    """A fleet in which peers count as heard for seconds after their last word."""
+    """A fleet in which peers count as alive for seconds after their last message."""
 
     def setUp(self):
         use_paused_clock()
@@ -44,24 +44,24 @@
 
 
 class LossTest(LargeFleetTest):
-    """An instance of a zone that is cut off from all others."""
+    """An instance in a zone that is cut off from the other zones."""
 
     def setUp(self):
         super().setUp()
         self.inside = next(peers for peers in self.fleet if peers.own.zone == "c")
 
     def owner(self):
-        """The owner of a queue as an instance of zone c sees it."""
+        """Return the owner of a queue as an instance of zone c sees it."""
         return rank_owners(self.inside, "encode", "r")[0]
 
     def zone_of(self, owner):
-        """Zone of an instance."""
+        """Return the zone of an instance."""
         if owner == self.inside.own.id:
             return self.inside.own.zone
         return self.inside.by_id[owner].contact.zone
 
-    def test_an_inquiry_is_answered_at_once(self):
-        """Guards against zones that seem silent between two rounds of heartbeats."""
+    def test_a_heartbeat_request_is_answered_at_once(self):
+        """Guards against zones that seem unreachable between two heartbeat rounds."""
         for peers in self.fleet:
             peers.send_heartbeats = lambda: None
         advance(1.0)
@@ -76,34 +76,34 @@
         self.inside.is_zone_unreachable = lambda zone: zone != "c"
         self.assertEqual(self.zone_of(self.owner()), "c")
 
-    def test_a_silent_owner_is_not_asked_again_before_it_is_heard(self):
-        """Guards against each request waiting for the same dead owner in turn."""
+    def test_an_unresponsive_owner_is_not_asked_again_until_received(self):
+        """Guards against requests that each wait for the same dead owner."""
         self.fleet.cut_off("c")
-        silent = set()
+        unresponsive = set()
         while self.zone_of(self.owner()) != "c":
-            silent.add(self.owner())
+            unresponsive.add(self.owner())
             self.inside.suspect(self.owner())
-        self.assertTrue(silent)
+        self.assertTrue(unresponsive)
         advance(2.0)
-        self.assertNotIn(self.owner(), silent)
+        self.assertNotIn(self.owner(), unresponsive)
         self.fleet.heal()
         advance(3.0)
         self.assertEqual(self.fleet.owners("encode"), {self.owner()})
 
 
-class DeathTest(LargeFleetTest):
-    """An owner of a queue that dies, or is only said to."""
+class OwnerFailureTest(LargeFleetTest):
+    """An owner of a queue that fails, or is only reported to."""
 
     def setUp(self):
         super().setUp()
         self.owner = next(iter(self.fleet.owners("encode")))
 
     def other(self):
-        """An instance that is not the owner."""
+        """Return an instance that is not the owner."""
         return next(peers for peers in self.fleet if peers.own.id != self.owner)
 
-    def test_a_dead_owner_that_one_instance_misses_is_left_by_all(self):
-        """Guards against seconds in which the owner's successor tells no load."""
+    def test_all_replace_a_dead_owner_that_one_instance_suspects(self):
+        """Guards against seconds in which the owner's successor reports no load."""
         self.fleet.kill(self.owner)
         self.other().suspect(self.owner)
         advance(2.0)
@@ -112,28 +112,28 @@
         self.assertEqual(len(owners), 1)
         self.assertNotIn(self.owner, owners)
 
-    def test_an_owner_that_stops_is_left_by_all_at_once(self):
-        """Guards against pieces that go on to an owner about to end."""
+    def test_all_replace_an_owner_that_stops_at_once(self):
+        """Guards against pieces that are sent to an owner which is stopping."""
         owner = next(peers for peers in self.fleet if peers.own.id == self.owner)
         owner.accepts_work = False
         advance(0.5)
         self.assertNotIn(self.owner, self.fleet.owners("encode"))
 
-    def test_an_owner_that_lives_is_not_left_by_others(self):
+    def test_a_suspected_owner_that_is_alive_is_not_replaced(self):
         """Guards against a lost datagram that changes the owner for the whole fleet."""
         self.other().suspect(self.owner)
-        seen = set()
+        owners = set()
         for _ in range(20):
             advance(0.1)
-            seen |= {
+            owners |= {
                 rank_owners(peers, "encode", "r")[0]
                 for peers in self.fleet
                 if peers is not self.other()
             }
-        self.assertEqual(seen, {self.owner})
+        self.assertEqual(owners, {self.owner})
 
-    def test_an_instance_that_gets_its_pieces_takes_over(self):
-        """Guards against a successor that waits for the dead owner's heartbeats."""
+    def test_an_instance_that_receives_its_pieces_takes_over(self):
+        """Guards against a successor that waits for heartbeats of the dead owner."""
         self.fleet.kill(self.owner)
         successor = self.other()
         advance(0.6)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Cold targets: never more work than they bear, whoever asks and whatever fails."""
+"""Cold targets: their limit holds for all daemons and through every failure."""
 
 import unittest
 
@@ -8,12 +8,12 @@
 from tests._fakes import FakeFleet, run_green
 from tests._paused import advance, advance_until, freeze
 
-TAKEOVER = 16.2
-SETTLED = 20.0
+TAKEOVER_S = 16.2
+SETTLE_S = 20.0
 
 
 class PermitCase(unittest.TestCase):
-    """Six daemons and one target a zone, all cold."""
+    """Six daemons and one cold target in each zone."""
 
     def setUp(self):
         self.fleet = FakeFleet(
@@ -21,7 +21,7 @@
         )
         self.addCleanup(self.fleet.close)
         self.fleet.set_cold()
-        self.fleet.start(SETTLED)
+        self.fleet.start(SETTLE_S)
         self.target = self.fleet.targets["stock-a"]
         self.home = self.fleet.daemons[self.home_id()]
 
@@ -29,7 +29,7 @@
         return self.fleet.daemons["b1"].homes.by_target["stock-a"]
 
     def load_all(self, *, calls: int, seconds: float) -> list:
-        """Have every daemon make some calls."""
+        """Make some calls through every daemon at once."""
         for target in self.fleet.targets.values():
             target.seconds = seconds
         return [
@@ -44,14 +44,14 @@
 
 
 def call_stock(daemon, seconds: float = 8.0) -> bytes:
-    """One repeatable call through a daemon."""
+    """Make one repeatable call through a daemon."""
     team = daemon.views.declaration.teams["crews"]
     request = Request(team, "stock", seconds, 5)
     return daemon.callers._services.call_repeatable(request, "pellets", b"{}")
 
 
 class PermitTest(PermitCase):
-    """What a home grants."""
+    """Permits that a home grants."""
 
     def test_home_is_in_the_targets_zone_and_agreed(self):
         homes = {d.homes.by_target["stock-a"] for d in self.fleet.daemons.values()}
@@ -59,7 +59,7 @@
         self.assertTrue(homes.pop().startswith("a"))
 
     def test_never_above_the_limit_with_many_daemons(self):
-        # All targets are in cold start at dawn and every daemon has requests.
+        # All targets start cold in the morning and every daemon has requests.
         results = self.load_all(calls=4, seconds=0.3)
         advance(9.0)
         answered = [result for result in results if result.error is None]
@@ -68,9 +68,9 @@
             self.assertLessEqual(target.max_in_flight, 2)
             self.assertGreater(len(target.calls), 0)
 
-    def test_lost_permit_counts_until_the_target_proves_its_end(self):
-        # An instance is killed while its call runs at a cold target. Its permit runs
-        # out, the call does not; a new one in its place would be one too many.
+    def test_lost_permit_counts_until_the_target_reports_the_end_of_its_call(self):
+        # An instance is killed while its call runs at a cold target. Its permit expires
+        # but the call runs on; another call in its place would exceed the limit.
         self.target.in_flight = 2
         self.assertTrue(self.ask().permit)
         self.assertTrue(self.ask().permit)
@@ -81,37 +81,38 @@
         advance(1.0)
         self.assertTrue(self.ask().permit)
 
-    def test_timed_out_call_keeps_its_place(self):
-        # A call at a cold target runs out of time. The daemon closes the connection,
-        # which a plain stage worker doesn't notice; it goes on working. Giving the
-        # place to the next call at once would run three where two are borne.
+    def test_timed_out_call_keeps_its_permit(self):
+        # A call at a cold target times out. The daemon closes the connection, which a
+        # plain stage worker doesn't notice, so it goes on working. Granting the permit
+        # to the next call at once would run three calls where the limit is two.
         for target in self.fleet.targets.values():
             target.seconds = 60.0
         run_green(lambda: call_stock(self.fleet.daemons["a1"], 1.0))
         advance(0.7)
-        out = sum(
+        granted = sum(
             len(grants.expiry_by_number)
             for daemon in self.fleet.daemons.values()
             for grants in daemon.home._grants_by_target.values()
         )
         self.assertEqual(len(self.fleet.calls("stock")), 2)
-        self.assertEqual(out, 2)
+        self.assertEqual(granted, 2)
 
-    def test_unsent_call_gives_its_place_back(self):
+    def test_unsent_call_releases_its_permit(self):
         for target in self.fleet.targets.values():
             target.refuses_connections = True
         run_green(lambda: call_stock(self.fleet.daemons["a1"], 1.0))
         advance(1.5)
-        out = sum(
+        granted = sum(
             len(grants.expiry_by_number)
             for daemon in self.fleet.daemons.values()
             for grants in daemon.home._grants_by_target.values()
         )
-        self.assertEqual(out, 0)
+        self.assertEqual(granted, 0)
 
-    def test_unused_permit_is_not_taken_for_the_running_call(self):
-        # One call outlived its permit, another permit is granted and not yet used.
-        # The target reports one call; it is the old one. The model checker found it.
+    def test_running_call_is_not_counted_for_an_unused_permit(self):
+        # One call has outlived its permit, and another permit is granted but not yet
+        # used. The one call that the target reports is the old one. The model checker
+        # found this case.
         first = self.ask(lifetime=1.0)
         self.target.in_flight = 1
         advance(1.5)
@@ -120,7 +121,7 @@
         advance(1.0)
         self.assertFalse(self.ask().permit)
 
-    def test_silent_target_frees_nothing(self):
+    def test_target_without_load_reports_frees_no_permits(self):
         self.ask()
         self.ask()
         self.target.is_load_unreadable = True
@@ -138,8 +139,8 @@
         self.assertEqual(subjects, ["route"])
 
     def test_warm_turns_cold_without_warning(self):
-        # Five calls run when the target turns cold. Until they have ended nothing
-        # new is sent, though its limit of two looks free of permits.
+        # Five calls run when the target turns cold. Until they have finished nothing
+        # new is sent, although no permit for its limit of two is granted.
         self.target.cold = False
         advance(1.0)
         self.target.in_flight = 5
@@ -151,9 +152,9 @@
         self.assertTrue(self.ask().permit)
         self.assertFalse(self.ask().permit)
 
-    def test_others_may_still_take_it_for_warm(self):
-        # The target turns cold while idle. Instances that have not heard of it send
-        # without a permit for as long as their last warm report counts.
+    def test_peers_may_still_consider_it_warm(self):
+        # The target turns cold while idle. Instances that don't know this yet send
+        # without a permit for as long as their last warm report is valid.
         self.target.cold = False
         advance(1.0)
         self.target.cold = True
@@ -163,8 +164,8 @@
         self.assertTrue(self.ask().permit)
 
     def test_pause_between_permit_and_send(self):
-        # The process gets its permit, is paused, and wakes up when the place has
-        # long been given to somebody else.
+        # The process gets its permit, is paused, and resumes after the permit has
+        # expired and was granted to another instance.
         daemon = self.fleet.daemons["b1"]
         connections = daemon.callers._services._connections
         connections.before_guard = lambda: freeze(20.0)
@@ -172,30 +173,30 @@
         advance(1.0)
         self.assertEqual(self.fleet.calls("stock"), [])
 
-    def test_late_answer_is_worth_less(self):
-        # The home's answer is read late, after the process was paused.
-        office = self.fleet.daemons["b1"].permits
-        ask_home = office._ask_home
+    def test_late_answer_shortens_the_permit(self):
+        # The answer of the home is read late because the process was paused.
+        permits = self.fleet.daemons["b1"].permits
+        ask_home = permits._ask_home
 
         def ask_late(home, query):
             answer = ask_home(home, query)
             freeze(4.0)
             return answer
 
-        office._ask_home = ask_late
+        permits._ask_home = ask_late
         target = self.fleet.daemons["b1"].targets.by_id["stock-a"]
-        result = run_green(lambda: office.request(target, 5.0))
+        result = run_green(lambda: permits.request(target, 5.0))
         advance(0.1)
         permit, _ = result.value
         self.assertAlmostEqual(permit.expires_at, now() + 0.9, delta=0.2)
 
 
 class HomeChangeTest(PermitCase):
-    """What happens when the home changes."""
+    """Permits while the home of a target changes."""
 
     def test_new_home_waits(self):
-        # The home is replaced. What it granted may be in use and, if it is only
-        # paused or cut off, it may go on granting for a while.
+        # The home is replaced. Its permits may be in use and, if it is only paused or
+        # cut off, it may grant more for a while.
         self.target.in_flight = 2
         self.ask()
         self.ask()
@@ -212,16 +213,16 @@
         advance(1.0)
         self.target.in_flight = 0
 
-    def test_new_home_waits_out_the_old_ones_permits(self):
+    def test_new_home_waits_until_the_old_permits_have_expired(self):
         self.remove_home()
-        advance(TAKEOVER - 2.0)
+        advance(TAKEOVER_S - 2.0)
         self.assertFalse(self.ask().permit)
         advance(3.0)
         self.assertTrue(self.ask().permit)
 
     def test_paused_home_stops_granting(self):
-        # The home sleeps through the change of the list and wakes up as if nothing
-        # had happened; meanwhile there may be another home.
+        # The home is paused while the list changes and doesn't notice on resuming;
+        # there may be another home by then.
         freeze(10.0)
         answer = self.home.home.grant(PermitQuery("stock-a", "b1", 5.0))
         self.assertFalse(answer.permit)
@@ -235,8 +236,9 @@
         advance(2.0)
         self.assertTrue(self.ask().permit)
 
-    def test_planned_stop_hands_permits_over(self):
-        # A planned stop should not close a cold target for a quarter of a minute.
+    def test_planned_stop_transfers_permits(self):
+        # A planned stop should not make a cold target unavailable for a quarter of a
+        # minute.
         self.ask()
         old = self.home_id()
         self.target.in_flight = 1
@@ -255,9 +257,9 @@
         answer = self.home.home.grant(PermitQuery("stock-a", "b1", 5.0))
         self.assertFalse(answer.permit)
 
-    def test_home_again_begins_anew(self):
-        # An instance was home, another one took its place, and it is home again.
-        # What it remembers says nothing of what was granted in between.
+    def test_home_for_the_second_time_starts_afresh(self):
+        # An instance was home, was replaced by another one, and is home again. It does
+        # not know the permits that were granted in between.
         name = self.home_id()
         instance = self.fleet.instances[name]
         self.fleet.instances[name] = instance._replace(state="leaving")
@@ -272,7 +274,7 @@
         self.assertTrue(self.ask().permit)
 
     def test_limit_holds_through_kill_and_load(self):
-        # Under steady load the home is killed and the list follows.
+        # The home is killed under steady load, and the list is updated.
         for target in self.fleet.targets.values():
             target.seconds = 0.3
         for turn in range(20):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Models on engines: enough copies, one home's orders at a time, no flapping."""
+"""Models on engines: enough copies, orders of a single home, and no flapping."""
 
 import unittest
 
@@ -17,11 +17,11 @@
 from tests._paused import advance, freeze
 
 MODELS = ("chat", "plan", "review")
-TAKEOVER = 17.0
+TAKEOVER_S = 17.0
 
 
 def engines(count: int, holds: int) -> list[DeclaredTarget]:
-    """Engines of one zone that may hold every model."""
+    """Return engines of one zone that may each load every model."""
     address = Address("10.0.0.1", 1)
     return [
         DeclaredTarget(
@@ -44,7 +44,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Which models are to sit where."""
+    """The planned models of each engine."""
 
     def plan(self, count, holds, **copies):
         models = {name: Model(name, number) for name, number in copies.items()}
@@ -52,12 +52,12 @@
         return plan_models(engines(count, holds), declaration)
 
     @params((1, 3), (3, 1), (3, 2), (7, 1), (10, 2))
-    def test_every_model_has_a_copy_and_no_engine_too_many(self, count, holds):
+    def test_every_model_has_a_copy_and_no_engine_has_too_many(self, count, holds):
         plan = self.plan(count, holds)
         self.assertEqual({m for held in plan.values() for m in held}, set(MODELS))
         self.assertEqual({len(held) for held in plan.values()}, {min(holds, 3)})
 
-    def test_every_model_somewhere_when_zones_are_small(self):
+    def test_every_model_has_a_copy_when_zones_are_small(self):
         targets = [
             target._replace(id=f"{zone}{target.id}", zone=zone)
             for zone in "abc"
@@ -70,7 +70,7 @@
         plan = self.plan(6, 1, chat=4)
         self.assertGreaterEqual(sum("chat" in held for held in plan.values()), 4)
 
-    def test_one_engine_less_changes_little(self):
+    def test_removing_an_engine_changes_little(self):
         before = self.plan(10, 1, chat=3, plan=3, review=3)
         after = plan_models(
             engines(9, 1),
@@ -81,7 +81,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Orders to one engine a zone, which holds one of two models."""
+    """Orders to one engine in each zone, which holds one of two models."""
 
     def setUp(self):
         lines = "models = chat, plan\nholds = 1"
@@ -90,14 +90,14 @@
         self.engines = list(self.fleet.targets.values())
         for engine in self.engines:
             engine.models = ["plan"]
-            engine.handle = lambda call, engine=engine: self.obey(engine, call)
+            engine.handle = lambda call, engine=engine: self.handle_order(engine, call)
         self.orders: list[tuple[str, dict]] = []
-        self.delay = False
+        self.ignores_orders = False
 
-    def obey(self, engine, call) -> Reply:
+    def handle_order(self, engine, call) -> Reply:
         order = msgspec.json.decode(call.body)
         self.orders.append((engine.id, order))
-        if not self.delay:
+        if not self.ignores_orders:
             self.apply(engine, order)
         return Reply(200, b"{}")
 
@@ -111,7 +111,7 @@
         self.fleet.publish(1, extra)
         self.fleet.start(3.0)
 
-    def test_home_orders_what_the_plan_wants(self):
+    def test_home_orders_the_planned_models(self):
         self.start()
         advance(60.0)
         plan = self.fleet.daemons["a1"].placement._plan()
@@ -119,9 +119,9 @@
             self.assertEqual(frozenset(engine.models), plan[engine.id])
 
     @params(["plan"], ["chat"])
-    def test_no_model_is_ever_gone(self, first):
-        # Every engine has the same model and some must change. Homes that count on
-        # each other's copies would drop the last one.
+    def test_no_model_ever_loses_its_last_copy(self, first):
+        # Every engine holds the same model and some must change. Homes that rely on
+        # each other's copies would unload the last one.
         for engine in self.engines:
             engine.models = list(first)
         self.start()
@@ -132,7 +132,7 @@
         self.assertEqual(held, {"chat", "plan"})
 
     def test_no_orders_before_the_takeover_wait(self):
-        # A new home must not order against an old one that is only paused.
+        # A new home must not contradict the orders of an old one that is only paused.
         self.start()
         advance(10.0)
         self.assertEqual(self.orders, [])
@@ -141,7 +141,7 @@
 
     def test_paused_home_orders_nothing(self):
         self.start()
-        advance(TAKEOVER)
+        advance(TAKEOVER_S)
         home = self.fleet.daemons[
             self.fleet.daemons["a1"].homes.by_target["generate-a"]
         ]
@@ -150,18 +150,18 @@
         self.assertFalse(home.home.may_order("generate-a"))
 
     def test_no_second_order_before_the_first_has_an_effect(self):
-        # The engine takes long. Ordering again each second would keep it and the
-        # weight store busy with the same thing.
-        self.delay = True
+        # The engine takes long to load. Repeating the order each second would make it
+        # and the weight store do the same work again and again.
+        self.ignores_orders = True
         self.start()
         advance(60.0)
         ordered = [engine for engine, _ in self.orders]
         self.assertTrue(ordered)
         self.assertEqual(len(ordered), len(set(ordered)))
 
-    def test_copies_that_nobody_keeps_are_not_counted_on(self):
-        # Two engines hold a model that the plan wants at a third one, which does not
-        # have it yet. If both homes drop it at once it is gone.
+    def test_copies_outside_the_plan_are_not_relied_on(self):
+        # Two engines hold a model that is planned for a third one, which has not loaded
+        # it yet. If both homes unload it at once, no copy remains.
         home = self.ready_home()
         plan = home.placement._plan()
         keeper = next(t for t, held in plan.items() if list(held) == ["chat"])
@@ -169,11 +169,11 @@
             engine.models = ["plan"] if engine.id == keeper else ["chat"]
         advance(0.5)
         holders = [e.id for e in self.engines if e.id != keeper]
-        may_drop = [
+        may_unload = [
             home.placement._may_unload(home.targets.by_id[holder], "chat")
             for holder in sorted(holders)
         ]
-        self.assertEqual(may_drop, [False, True])
+        self.assertEqual(may_unload, [False, True])
 
     def ready_home(self):
         self.start()
@@ -193,7 +193,7 @@
         self.assertLess(before, between)
         self.assertLess(between, home.placement._fencing_number())
 
-    def test_requests_go_where_the_model_is_loaded(self):
+    def test_requests_are_sent_where_the_model_is_loaded(self):
         self.engines[0].models = ["chat"]
         self.start()
         targets = self.fleet.daemons["b1"].targets.by_id
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -1,4 +1,4 @@
-"""What the platform speaks, decoded and encoded."""
+"""Decoding and encoding of the platform's messages."""
 
 import base64
 import unittest
@@ -80,7 +80,7 @@
 
 
 class HeadTest(unittest.TestCase):
-    """Requests of callers, and what targets get."""
+    """Heads of callers' requests, and the heads that are sent to targets."""
 
     def test_decoded(self):
         head = read_head()
@@ -92,11 +92,11 @@
         self.assertEqual((head.prompt_tokens, head.output_tokens), (1460, 80))
         self.assertEqual((head.pieces, head.piece_key), ((2, 0, 8), "k"))
 
-    def test_targets_get_what_the_system_sets_and_no_key(self):
-        """A caller forges headers that only the system may set.
+    def test_targets_get_system_headers_and_no_key(self):
+        """Guards against forged headers that only the system may set.
 
-        A target that believed them would charge another team, or take memory that was
-        set aside for another request.
+        A target that trusted them would charge another team, or use memory that is
+        reserved for another request.
         """
         dispatch = Dispatch(TARGET, 1.25, Team("t"), 0, ("h1", "h2"), 13)
         sent = dict(DIALECT.forward(read_head(), dispatch, 0))
@@ -117,13 +117,13 @@
             ("pieces", [*HEADERS, (b"x-pieces", b"-1")]),
         ]
     )
-    def test_improper_heads(self, _, headers):
+    def test_invalid_heads(self, _, headers):
         with self.assertRaises(RequestError) as raised:
             read_head(headers)
         self.assertEqual(raised.exception.kind, ErrorKind.BAD_REQUEST)
 
-    def test_answers(self):
-        answer = DIALECT.read_response(
+    def test_response_headers(self):
+        response = DIALECT.read_response(
             [
                 (b"x-request-id", b"r1"),
                 (b"x-response-seal", b"s"),
@@ -131,29 +131,31 @@
                 (b"keep-alive", b"timeout=10"),
             ]
         )
-        self.assertTrue(answer.is_signed)
-        self.assertFalse(answer.not_run)
-        self.assertEqual((answer.load.running, answer.keep_alive_seconds), (3, 10.0))
+        self.assertTrue(response.is_signed)
+        self.assertFalse(response.not_run)
+        self.assertEqual(
+            (response.load.running, response.keep_alive_seconds), (3, 10.0)
+        )
 
 
 class StoreTest(unittest.TestCase):
-    """The store's items."""
+    """Entries of the platform's store."""
 
     def decode(self, key, value):
-        """Decode an item."""
+        """Decode an entry."""
         return DIALECT.decode(StoreEntry(key, 1, msgspec.json.encode(value)))
 
     def test_configuration(self):
-        found = self.decode("op/config", CONFIG)
-        self.assertEqual(found.version, 7)
-        self.assertEqual(found.find_route("api.example", "/p/q/z").name, "deep")
-        route = found.find_route("api.example", "/p/z")
+        configuration = self.decode("op/config", CONFIG)
+        self.assertEqual(configuration.version, 7)
+        self.assertEqual(configuration.find_route("api.example", "/p/q/z").name, "deep")
+        route = configuration.find_route("api.example", "/p/z")
         self.assertEqual((route.kind, route.objective), (Kind.STREAM, 1.0))
-        self.assertIsNone(found.find_route("api.example", "/z"))
-        batching = found.services_by_name["s"].batching
+        self.assertIsNone(configuration.find_route("api.example", "/z"))
+        batching = configuration.services_by_name["s"].batching
         self.assertEqual((batching.size, batching.memory_bytes), (4, 18e6))
-        self.assertEqual(found.team_by_key["secret"], Team("t", 1))
-        self.assertEqual(found.limits.body_bytes, 99)
+        self.assertEqual(configuration.team_by_key["secret"], Team("t", 1))
+        self.assertEqual(configuration.limits.body_bytes, 99)
 
     @parameterized.expand(
         [
@@ -184,7 +186,7 @@
         self.assertEqual([e.value for e in page.entries], [b"{}", None, b""])
         self.assertEqual(page.revision, 6)
 
-    def test_foreign_keys_are_of_no_concern(self):
+    def test_unknown_keys_are_ignored(self):
         self.assertIsNone(self.decode("other/key", {}))
         self.assertIsNone(DIALECT.target_id("op/config"))
 
@@ -192,7 +194,7 @@
 class PiecesTest(unittest.TestCase):
     """Calls to stage targets."""
 
-    def test_pieces_name_their_key_or_their_inputs(self):
+    def test_pieces_have_a_key_or_inputs(self):
         call = DIALECT.run_pieces(
             [
                 Piece("r1", 0, 2, "k", (), 0.9),
@@ -207,19 +209,20 @@
 
     def test_results(self):
         body = b'{"items":[{"handle":"10.0.0.7:80/h"},{"reason":"gone"}]}'
-        made, unmade = DIALECT.read_results(body)
-        self.assertEqual(DIALECT.result_address(made.handle), Address("10.0.0.7", 80))
-        self.assertEqual((unmade.handle, unmade.reason), ("", "gone"))
+        result, failure = DIALECT.read_results(body)
+        self.assertEqual(DIALECT.result_address(result.handle), Address("10.0.0.7", 80))
+        self.assertEqual((failure.handle, failure.reason), ("", "gone"))
 
     @parameterized.expand([(b"[]",), (b'{"items":[1]}',), (b"x",), (b"{}",)])
     def test_malformed_results(self, body):
         with self.assertRaises(ValueError):
             DIALECT.read_results(body)
 
-    def test_room(self):
-        """A target with room for half a megabyte always says 0 whole ones.
+    def test_free_memory(self):
+        """Guards against empty targets that are avoided for 0.3 s after a refusal.
 
-        Taken at its word, an empty target was left alone for 0.3 s after each refusal.
+        A target with half a megabyte of free memory always reports 0 full megabytes.
+        Reading that as no memory would keep an empty target idle.
         """
         self.assertEqual(DIALECT.read_free_memory(b'{"freeMb":0}'), 1e6)
         self.assertEqual(DIALECT.read_free_memory(b'{"freeMb":1.5}'), 1.5e6)
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,11 +1,11 @@
-"""The platform's names stay in its adapter."""
+"""Names of the platform's protocol occur only in its adapter."""
 
 import re
 import unittest
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# Headers, calls, keys and fields that only the platform uses, and none of the everyday
+# Headers, calls, keys and fields that are specific to the platform, without the common
 # ones of HTTP.
 NAMES = re.compile(
     r"x-(?:response-seal|token-usage|prefix-hash|target-instance|not-executed|"
@@ -18,9 +18,9 @@
 
 
 class NamesTest(unittest.TestCase):
-    """Sources outside the adapter."""
+    """Occurrences in the sources of packages and adapter."""
 
-    def test_only_the_adapter_knows_them(self):
+    def test_packages_contain_none(self):
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sorted((ROOT / "packages").rglob("*.py"))
@@ -28,7 +28,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_the_adapter_does(self):
+    def test_the_adapter_contains_some(self):
         adapter = ROOT / "platform" / "adapter" / "bergamotsaddle_platform"
         texts = [path.read_text() for path in adapter.glob("*.py")]
         self.assertTrue(any(NAMES.search(text) for text in texts))
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""The decisions: routing, limits, queues, budgets and neighbours."""
+"""Policies of the daemon: routing, limits, queues, budgets and neighbours."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
 
 
 def make_target(name: str, zone: str = "a", in_flight: int = 0) -> Target:
-    """A warm target with some calls."""
+    """Return a warm target with some calls in flight."""
     address = Address("10.0.0.1", 1)
     declared = DeclaredTarget(
         name, address, zone, "generate", (), 1, 10, 1, True, False, False, True, ()
@@ -47,18 +47,18 @@
 
 
 class RoutingTest(unittest.TestCase):
-    """Which target is chosen."""
+    """The target that a routing policy chooses."""
 
     def choose(self, targets, *, prefix="", times=1, policy=None):
         policy = policy or LeastOfFew()
         request = RoutingRequest("a", prefix)
         return [policy(targets, request).target.id for _ in range(times)]
 
-    def test_own_zone_first(self):
+    def test_local_zone_first(self):
         targets = [make_target("x", "b"), make_target("y", "a", in_flight=5)]
         self.assertEqual(set(self.choose(targets, times=20)), {"y"})
 
-    def test_other_zone_once_the_own_is_full(self):
+    def test_other_zone_once_the_local_one_is_full(self):
         targets = [make_target("x", "b"), make_target("y", "a", in_flight=9)]
         self.assertEqual(set(self.choose(targets, times=20)), {"x"})
 
@@ -87,7 +87,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    """How limits follow latency."""
+    """How limits adapt to latency."""
 
     def test_grows_while_fast_and_full(self):
         limit = AdaptiveLimit(2.0, 16.0)
@@ -95,13 +95,13 @@
             limit.record_success(0.1, in_flight=16)
         self.assertGreater(limit.value, 10.0)
 
-    def test_stays_when_not_used(self):
+    def test_is_kept_while_not_used(self):
         limit = AdaptiveLimit(4.0, 16.0)
         for _ in range(100):
             limit.record_success(0.1, in_flight=1)
         self.assertEqual(limit.value, 4.0)
 
-    def test_shrinks_when_slow_but_not_at_once_to_nothing(self):
+    def test_shrinks_gradually_when_slow(self):
         limit = AdaptiveLimit(8.0, 16.0)
         limit.record_success(0.1, in_flight=8)
         for _ in range(10):
@@ -115,20 +115,22 @@
 
 
 class TargetTest(unittest.TestCase):
-    """What sets a target aside."""
+    """Conditions under which a target is not used."""
 
     @params((False, 3, True), (True, 3, False), (False, 2, False))
-    def test_resting_after_failures(self, answered_meanwhile, failures, is_backing_off):
-        # Under overload calls run out of time at an engine that answers others all
-        # the while; only one that answers nothing is set aside.
+    def test_backoff_after_failures(
+        self, responded_meanwhile, failures, is_backing_off
+    ):
+        # Under overload, calls time out at an engine that responds to others in the
+        # meantime; only an engine that responds to none backs off.
         target = make_target("x")
-        began = now()
+        started_at = now()
         advance(1.0)
         for _ in range(failures):
             target.start_call()
-            if answered_meanwhile:
+            if responded_meanwhile:
                 target.last_response_at = now()
-            target.fail_call(began, 0.0, timed_out=True)
+            target.fail_call(started_at, 0.0, timed_out=True)
         self.assertEqual(target.is_backing_off(), is_backing_off)
 
     def test_one_probe_at_a_time(self):
@@ -145,7 +147,7 @@
         target.finish_call()
         self.assertFalse(target.is_backing_off())
 
-    def test_far_slower_than_its_like_is_set_aside(self):
+    def test_far_slower_than_its_kind_is_avoided(self):
         target = make_target("x")
         target.start_call()
         target.record_first_byte(0.9, typical_latency=0.1)
@@ -159,13 +161,13 @@
         target.finish_call()
         self.assertFalse(target.is_slow())
 
-    def test_long_silence_makes_it_cold_until_a_later_report(self):
+    def test_timeout_makes_it_cold_until_a_later_report(self):
         target = make_target("x")
         target.start_call()
-        began = now()
+        started_at = now()
         advance(2.0)
         target.apply_report(TargetReport("x", False, 0, 0.5), sent_at=now())
-        target.fail_call(began, 0.0, timed_out=True)
+        target.fail_call(started_at, 0.0, timed_out=True)
         self.assertTrue(target.is_cold())
         advance(0.5)
         target.apply_report(TargetReport("x", False, 0, 0.0), sent_at=now())
@@ -173,7 +175,7 @@
 
 
 class QueueTest(unittest.TestCase):
-    """Who is served next."""
+    """The order in which teams are served."""
 
     def serve(self, queue: FairQueue, count: int) -> list[str]:
         served = []
@@ -183,7 +185,7 @@
             served.append(entry.waiter.requirements)
         return served
 
-    def test_flood_of_one_team_is_passed_by_others(self):
+    def test_other_teams_overtake_a_flood_of_one_team(self):
         queue = FairQueue()
         for _ in range(50):
             queue.push(Team("flood", 1, 5, ()), Waiter("flood"))
@@ -198,7 +200,7 @@
         served = self.serve(queue, 20)
         self.assertEqual(served.count("big"), 15)
 
-    def test_idle_team_saves_nothing_up(self):
+    def test_idle_team_accumulates_no_credit(self):
         queue = FairQueue()
         for _ in range(20):
             queue.push(Team("busy", 1, 5, ()), Waiter("busy"))
@@ -207,27 +209,27 @@
             queue.push(Team("late", 1, 5, ()), Waiter("late"))
         self.assertLessEqual(self.serve(queue, 10).count("late"), 6)
 
-    def test_who_gave_up_is_not_served(self):
+    def test_dropped_waiter_is_not_served(self):
         queue = FairQueue()
-        gone = Waiter("gone")
-        queue.push(Team("t", 1, 5, ()), gone)
-        queue.drop(gone)
+        dropped = Waiter("gone")
+        queue.push(Team("t", 1, 5, ()), dropped)
+        queue.drop(dropped)
         self.assertIsNone(queue.pop())
 
 
 class BudgetTest(unittest.TestCase):
-    """Extra calls stay a small part."""
+    """Retries remain a small fraction of all calls."""
 
     def test_failing_kind_gets_few_retries(self):
         budget = RetryBudget(10)
-        taken = 0
+        spent = 0
         for _ in range(1_000):
             budget.count_call("crews", "encode")
-            taken += budget.try_spend("crews", "encode")
-        self.assertLessEqual(taken, 111)
-        self.assertGreaterEqual(taken, 90)
+            spent += budget.try_spend("crews", "encode")
+        self.assertLessEqual(spent, 111)
+        self.assertGreaterEqual(spent, 90)
 
-    def test_teams_have_their_own(self):
+    def test_teams_have_budgets_of_their_own(self):
         budget = RetryBudget(10)
         while budget.try_spend("flood", "encode"):
             continue
@@ -235,23 +237,23 @@
 
 
 class NeighbourTest(unittest.TestCase):
-    """Who gets heartbeats."""
+    """The neighbours that get heartbeats."""
 
     @params((10, 8, 2), (39, 8, 4), (350, 8, 8), (700, 8, 10), (350, 4, 20))
-    def test_bounded_symmetric_and_few_hops(self, size, bound, most_hops):
+    def test_bounded_symmetric_and_few_hops(self, size, bound, max_hops):
         steps = _ring_offsets(size, bound)
         self.assertLessEqual(len(steps), bound)
         self.assertEqual({size - step for step in steps}, set(steps))
-        reached, edge, hops = {0}, {0}, 0
+        reached, frontier, hops = {0}, {0}, 0
         while len(reached) < size:
-            edge = {(n + s) % size for n in edge for s in steps} - reached
-            reached |= edge
+            frontier = {(n + s) % size for n in frontier for s in steps} - reached
+            reached |= frontier
             hops += 1
-        self.assertLessEqual(hops, most_hops)
+        self.assertLessEqual(hops, max_hops)
 
 
 class LargeFleetTest(unittest.TestCase):
-    """Instances that can't all beat with each other."""
+    """A fleet too large for heartbeats between all pairs of instances."""
 
     def setUp(self):
         self.fleet = FakeFleet(("encode", "stock"), daemons_per_zone=8)
@@ -264,8 +266,8 @@
             self.assertLess(count, 23)
 
     def test_every_instance_knows_targets_of_each_kind_as_warm(self):
-        # Reports go only where they are asked for. An instance that got none would
-        # take every target for cold and serve almost nothing.
+        # Reports are sent only to instances that request them. An instance without
+        # reports would consider every target cold and serve almost nothing.
         for daemon in self.fleet.daemons.values():
             usable = [
                 target
@@ -278,8 +280,8 @@
                 ]
                 self.assertGreaterEqual(len(warm), 2)
 
-    def test_change_reaches_all(self):
-        # Only one instance can read the service.
+    def test_declaration_reaches_all(self):
+        # Only one instance can read the configuration service.
         names = set(self.fleet.daemons)
         self.fleet.config.down_readers = names - {"a1"}
         self.fleet.publish(2)
@@ -288,7 +290,7 @@
 
 
 class AttemptTest(unittest.TestCase):
-    """Retries and hedges through a daemon."""
+    """Retries and hedges of a daemon's stage calls."""
 
     PIPELINE = "[pipeline plan]\nstages = encode\ndeadline = 4s\n"
 
@@ -307,53 +309,54 @@
         body = {"input": "x"}
         return run_green(lambda: send_request(self.daemon, "/v1/pipelines/plan", body))
 
-    def learn(self):
+    def warm_up(self):
         for _ in range(5):
             self.plan()
             advance(0.2)
 
-    def extra(self) -> dict[str, int]:
+    def calls_by_kind(self) -> dict[str, int]:
         calls = self.daemon.costs._calls
         key = ("crews", "plan", "encode")
         kinds = (FIRST, RETRY, HEDGE)
         return {kind: int(calls.labels(*key, kind)._value.get()) for kind in kinds}
 
     def test_slow_target_is_hedged(self):
-        # One encoder hangs. A second call elsewhere answers long before the time
-        # limit of the first.
-        self.learn()
+        # One encoder hangs. A second call to another target completes long before the
+        # time limit of the first.
+        self.warm_up()
         self.fleet.targets["encode-a"].seconds = 60.0
         result = self.plan()
         advance(0.5)
         self.assertEqual(result.value.status, 200)
-        self.assertEqual(self.extra()[HEDGE], 1)
+        self.assertEqual(self.calls_by_kind()[HEDGE], 1)
 
     def test_hedges_are_few_when_everything_is_slow(self):
-        # All encoders slow down; doubling their work would keep them slow.
-        self.learn()
+        # All encoders slow down; hedging every call would double their work and keep
+        # them slow.
+        self.warm_up()
         for target in self.fleet.targets.values():
             target.seconds = 0.6
         results = [self.plan() for _ in range(60)]
         advance(8.0)
         self.assertTrue(all(result.done for result in results))
-        self.assertLessEqual(self.extra()[HEDGE], 10 + 0.04 * 65)
+        self.assertLessEqual(self.calls_by_kind()[HEDGE], 10 + 0.04 * 65)
 
-    def test_failed_call_is_retried_elsewhere(self):
-        self.learn()
+    def test_failed_call_is_retried_at_another_target(self):
+        self.warm_up()
         self.fleet.targets["encode-a"].refuses_connections = True
         result = self.plan()
         advance(0.5)
         self.assertEqual(result.value.status, 200)
 
-    def test_attempt_limit_leaves_time_for_another(self):
-        times = StageLatencies()
-        self.assertEqual(times.attempt_timeout("p", "encode", 2.0), 1.0)
+    def test_attempt_timeout_leaves_time_for_a_retry(self):
+        latencies = StageLatencies()
+        self.assertEqual(latencies.attempt_timeout("p", "encode", 2.0), 1.0)
         for _ in range(50):
-            times.record("p", "encode", 0.1)
+            latencies.record("p", "encode", 0.1)
         self.assertAlmostEqual(
-            times.attempt_timeout("p", "encode", 2.0), 0.5, delta=0.05
+            latencies.attempt_timeout("p", "encode", 2.0), 0.5, delta=0.05
         )
-        self.assertEqual(times.attempt_timeout("p", "encode", 0.2), 0.2)
+        self.assertEqual(latencies.attempt_timeout("p", "encode", 0.2), 0.2)
 
     def test_waiting_calls_are_served(self):
         for target in self.fleet.targets.values():
@@ -361,16 +364,16 @@
         results = [self.plan() for _ in range(60)]
         self.assertGreater(self.daemon.pools.count_waiting(), 0)
         advance(5.0)
-        ends = [result.value.status for result in results]
-        self.assertGreater(ends.count(200), 45)
+        statuses = [result.value.status for result in results]
+        self.assertGreater(statuses.count(200), 45)
         self.assertEqual(self.daemon.pools.count_waiting(), 0)
 
-    def test_killed_waiter_leaks_no_place(self):
-        # A hedge wins while the slow first attempt still waits, and in the same
-        # moment a place is handed to that one. Were it kept by nobody, the target
-        # would have one place less for ever, and slowly none.
+    def test_killed_waiter_leaks_no_slot(self):
+        # A hedge completes while the slow first attempt still waits, and at the same
+        # time that attempt is given a slot. If the slot were not released, the target
+        # would have one slot less for ever, and eventually none.
         pools = self.daemon.pools
-        self.learn()
+        self.warm_up()
         for target in self.fleet.targets.values():
             target.seconds = 0.5
         for _ in range(25):
@@ -392,8 +395,8 @@
         self.assertEqual(target.in_flight, before)
 
     def test_streams_refill_the_retry_budget(self):
-        # Only plain calls refill the budget. Streams that did not count would use it
-        # up once and never again be tried elsewhere.
+        # First calls refill the budget. If streams did not count as such, they would
+        # use it up once and never be retried again.
         budget = self.daemon.callers._stages._retries
         while budget.try_spend("crews", "generate"):
             continue
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Mechanisms that are switched off, each in a load that it answers."""
+"""Mechanisms that are switched off, each under a load that triggers it."""
 
 import unittest
 
@@ -21,22 +21,22 @@
 
 
 def fill(queue, count):
-    """Queue large pieces of one request that is due in a second."""
+    """Queue large pieces of one request that is due in one second."""
     for number in range(count):
         key = PieceKey("r", 0, number)
         piece = QueuedPiece(key, 0, False, 1.0, 9.0, LARGE, "k", (), zone="a")
         queue.add(piece._replace(zone_bytes=LARGE))
 
 
-def take(policy, count, *, others):
-    """Number of pieces that a target in another zone takes."""
+def pop_elsewhere(policy, count, *, others):
+    """Return the number of pieces that a target in another zone pops."""
     queue = StageQueue(FOUR_PER_CALL, policy)
     fill(queue, count)
     return len(queue.pop_batch(0.0, 18e6, zone="b", others=others))
 
 
-def take_small_part(policy):
-    """Number of pieces taken where room is left for one of six requests."""
+def pop_with_little_memory(policy):
+    """Return the number of pieces popped with memory for one of six requests."""
     queue = StageQueue(FOUR_PER_CALL, policy)
     for number in range(6):
         key = PieceKey(f"r{number}", 0, 0)
@@ -44,25 +44,25 @@
     return len(queue.pop_batch(0.0, 4e6, may_wait=True))
 
 
-def leave(policy):
-    """Number of late pieces that leave a long queue."""
+def expire(policy):
+    """Return the number of late pieces that are removed from a long queue."""
     queue = StageQueue(FOUR_PER_CALL, policy)
     fill(queue, 8)
     queue.add(QueuedPiece(PieceKey("s", 0, 0), 0, False, 9.0, 9.0, LARGE, "k", ()))
     return len(queue.pop_expired(2.0))
 
 
-class OffTest(unittest.TestCase):
-    """What is decided with a mechanism, and without it."""
+class MechanismTest(unittest.TestCase):
+    """Decisions with and without a mechanism."""
 
     @parameterized.expand(
         [
             (Mechanism.ADMISSION, lambda p: admits(LATE, 0.0, p), False, True),
             (Mechanism.OVERTAKING, lambda p: admits(OVERTAKEN, 0.6, p), False, True),
-            (Mechanism.HOME_ZONES, lambda p: take(p, 2, others=[BUSY]), 0, 2),
-            (Mechanism.WHOLE_STAGES, lambda p: take(p, 8, others=[]), 0, 4),
-            (Mechanism.LATE_LEAVE, leave, 8, 0),
-            (Mechanism.FULL_CALLS, take_small_part, 0, 1),
+            (Mechanism.HOME_ZONES, lambda p: pop_elsewhere(p, 2, others=[BUSY]), 0, 2),
+            (Mechanism.WHOLE_STAGES, lambda p: pop_elsewhere(p, 8, others=[]), 0, 4),
+            (Mechanism.LATE_LEAVE, expire, 8, 0),
+            (Mechanism.FULL_CALLS, pop_with_little_memory, 0, 1),
         ]
     )
     def test_decision(self, mechanism, decide, with_it, without_it):
