--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -33,7 +33,14 @@
 
 
 class FakePlatform:
-    """A value that the platform publishes; it may differ for each reader."""
+    """A value that the platform publishes; it may differ for each reader.
+
+    Attributes:
+        payload: The published value; empty before the first one.
+        down: Whether no reader reaches the platform.
+        payload_by_reader: Values that certain readers get instead.
+        down_readers: Readers that don't reach the platform.
+    """
 
     def __init__(self) -> None:
         self.payload = b""
@@ -70,7 +77,16 @@
 
 
 class FakeNetwork:
-    """Carries messages between daemons; links can be cut in one or both directions."""
+    """Carries messages between daemons; links can be cut in one or both directions.
+
+    Attributes:
+        daemon_by_address: The daemons that are running.
+        cut_links: Ids of sender and receiver of each link that is cut.
+        frozen: Instances that neither send nor receive.
+        unanswered_types: Types of messages whose responses are lost.
+        held_datagrams: Heartbeats to frozen instances, which were not delivered.
+        sent: Sender, address and message of each call.
+    """
 
     def __init__(self) -> None:
         self.daemon_by_address: dict[str, Daemon] = {}
@@ -147,7 +163,21 @@
 
 
 class FakeTarget:
-    """A target with a published load and a configurable handler of calls."""
+    """A target with a published load and a configurable handler of calls.
+
+    Attributes:
+        id: Its id in the declaration.
+        kind: Its kind in the declaration.
+        cold: Whether it reports that it is cold.
+        in_flight: Calls that are running.
+        max_in_flight: The most calls that were running at the same time.
+        calls: Every call that it received.
+        seconds: Duration of each call.
+        refuses_connections: Whether connections to it fail.
+        handle: Returns the reply to a call, or the chunks of a stream.
+        is_load_unreadable: Whether reading its load fails.
+        models: Models that it reports as loaded; None if it reports none.
+    """
 
     def __init__(self, target_id: str, kind: str) -> None:
         self.id = target_id
@@ -390,7 +420,13 @@
 
 
 class Result:
-    """The value or the error of a green thread; neither is set while it runs."""
+    """The result of a function in a green thread.
+
+    Attributes:
+        done: Whether the function has returned or raised.
+        value: The value that it returned.
+        error: The exception that it raised.
+    """
 
     def __init__(self) -> None:
         self.done = False
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -28,8 +28,8 @@
         for target in self.fleet.targets.values():
             target.handle = lambda call: OUTPUT
 
-    def ask(self, path, body=None, *, seconds: float = 5.0, **more):
-        result = run_green(lambda: send_request(self.daemon, path, body, **more))
+    def send(self, path, body=None, *, seconds: float = 5.0, **options):
+        result = run_green(lambda: send_request(self.daemon, path, body, **options))
         advance(seconds)
         if result.error:
             raise result.error
@@ -40,18 +40,18 @@
     """Responses to callers."""
 
     def test_complete_pipeline(self):
-        response = self.ask("/v1/pipelines/plan", {"input": "pens"})
+        response = self.send("/v1/pipelines/plan", {"input": "pens"})
         self.assertEqual(response.status, 200)
         self.assertEqual(response.json["output"], ["x"])
 
     def test_booking_needs_a_ticket(self):
-        response = self.ask("/v1/services/orders/book", {"tonnes": 8})
+        response = self.send("/v1/services/orders/book", {"tonnes": 8})
         self.assertEqual((response.status, response.json["ran"]), (428, "no"))
-        ticket = self.ask("/v1/tickets/orders").json["ticket"]
-        response = self.ask("/v1/services/orders/book", {"tonnes": 8}, ticket=ticket)
+        ticket = self.send("/v1/tickets/orders").json["ticket"]
+        response = self.send("/v1/services/orders/book", {"tonnes": 8}, ticket=ticket)
         self.assertEqual(response.status, 200)
-        look = self.ask(f"/v1/tickets/orders/{ticket}", method="GET")
-        self.assertEqual(look.json["state"], "finished")
+        status = self.send(f"/v1/tickets/orders/{ticket}", method="GET")
+        self.assertEqual(status.json["state"], "finished")
 
     @params(
         ("/v1/pipelines/nope", {"input": "x"}, 404),
@@ -62,7 +62,7 @@
         ("/v1/pipelines/plan", {"input": "x", "max_tokens": 0}, 400),
     )
     def test_rejections_before_anything_ran(self, path, body, status):
-        response = self.ask(path, body)
+        response = self.send(path, body)
         self.assertEqual((response.status, response.json["ran"]), (status, "no"))
         self.assertTrue(response.json["detail"])
 
@@ -73,11 +73,11 @@
             "/v1/services/stock/x",
             "/v1/tickets/orders",
         ):
-            self.assertEqual(self.ask(path, {"input": "x"}, key=key).status, 401)
+            self.assertEqual(self.send(path, {"input": "x"}, key=key).status, 401)
         self.assertEqual(self.fleet.calls("stock"), [])
 
     def test_deadline_is_read_and_checked(self):
-        response = self.ask("/v1/pipelines/plan", {"input": "x"}, deadline="soon")
+        response = self.send("/v1/pipelines/plan", {"input": "x"}, deadline="soon")
         self.assertEqual(response.status, 400)
 
     def test_not_ready_before_a_declaration(self):
@@ -93,7 +93,7 @@
     """Bounds on what callers send."""
 
     def test_body_too_large(self):
-        response = self.ask("/v1/services/stock/x", raw=b"x" * 1_000_001)
+        response = self.send("/v1/services/stock/x", raw=b"x" * 1_000_001)
         self.assertEqual((response.status, response.json["ran"]), (413, "no"))
 
     def test_body_shorter_than_its_content_length(self):
@@ -129,7 +129,7 @@
 
     def test_too_many_at_once(self):
         self.daemon.callers.active = 5_000
-        response = self.ask("/v1/services/stock/x")
+        response = self.send("/v1/services/stock/x")
         self.assertEqual((response.status, response.json["kind"]), (429, "overloaded"))
         self.assertIn("Retry-After", response.headers)
 
@@ -142,7 +142,7 @@
         for target in self.fleet.targets.values():
             target.handle = lambda call: Reply(500, b"")
         for _ in range(10):
-            self.ask("/v1/pipelines/plan", {"input": "x"}, seconds=0.0)
+            self.send("/v1/pipelines/plan", {"input": "x"}, seconds=0.0)
         result = run_green(
             lambda: send_request(self.daemon, "/v1/pipelines/plan", {"input": "x"})
         )
@@ -156,7 +156,7 @@
             if target.kind == "rerank":
                 target.handle = lambda call: Reply(500, b"")
         for _ in range(12):
-            response = self.ask("/v1/pipelines/plan", {"input": "x"}, seconds=0.1)
+            response = self.send("/v1/pipelines/plan", {"input": "x"}, seconds=0.1)
             self.assertNotEqual(
                 (response.status, response.json.get("ran")), (200, "no")
             )
@@ -167,9 +167,9 @@
         for target in self.fleet.targets.values():
             target.seconds = 0.4
         for _ in range(10):
-            self.ask("/v1/pipelines/plan", {"input": "x"}, seconds=1.0)
+            self.send("/v1/pipelines/plan", {"input": "x"}, seconds=1.0)
         before = len(self.fleet.calls("encode"))
-        response = self.ask(
+        response = self.send(
             "/v1/pipelines/plan", {"input": "x"}, seconds=0.0, deadline="300ms"
         )
         self.assertEqual(response.json["kind"], "deadline_infeasible")
@@ -199,9 +199,9 @@
     def test_ready_probe_fails_before_the_listener_closes(self):
         # The load balancer sends requests until its probe has failed.
         self.stop()
-        self.assertEqual(self.ask("/ready", method="GET", seconds=0.0).status, 503)
+        self.assertEqual(self.send("/ready", method="GET", seconds=0.0).status, 503)
         self.assertEqual(self.closed, [])
-        response = self.ask("/v1/services/stock/x", seconds=0.1)
+        response = self.send("/v1/services/stock/x", seconds=0.1)
         self.assertEqual(response.status, 200)
         self.assertEqual(response.headers["Connection"], "close")
         advance(1.0)
--- a/tests/test_cause.py
+++ b/tests/test_cause.py
@@ -29,7 +29,11 @@
     @parameterized.expand(
         [
             ("unfinished", [STAGE_AGAIN], "not ended"),
-            ("refused", [REJECTED, INFEASIBLE], "1.00 s of them behind other requests"),
+            (
+                "rejected",
+                [REJECTED, INFEASIBLE],
+                "1.00 s of them behind other requests",
+            ),
             (
                 "again",
                 [SLOW_STAGE, STAGE_AGAIN, COMPLETE],
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -58,7 +58,7 @@
         fleet.targets.fatal_paths.add(FATAL)
         fleet.start()
         advance(2.0)
-        others = []
+        other_callers = []
         for step in range(60):
             if step % 5 == 0:
                 for _ in range(3):
@@ -66,7 +66,7 @@
             for number in range(8):
                 # Half of them are one popular request, the others are all different.
                 path = b"/popular" if number % 2 else b"/own/%d/%d" % (step, number)
-                others.append(fleet.ask(random.randrange(7), path, b"body"))
+                other_callers.append(fleet.ask(random.randrange(7), path, b"body"))
             advance(0.2)
         advance(8.0)
         self.assertLessEqual(len(late_tries(fleet)), MAX_LATE_TRIES)
@@ -76,8 +76,8 @@
             for fingerprint in instance.suspects.quarantined()
         }
         self.assertEqual(len(quarantined), 1)
-        refused = [caller for caller in others if caller.status == 503]
-        self.assertEqual(refused, [])
+        rejected = [caller for caller in other_callers if caller.status == 503]
+        self.assertEqual(rejected, [])
 
     def test_ordinary_crashes_quarantine_nothing(self):
         """Guards against quarantines where targets crash for other reasons."""
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -45,7 +45,7 @@
         self.fleet.start()
         advance(2.0)
 
-    def ask(self, seconds, rate):
+    def send_requests(self, seconds, rate):
         """Send requests at a rate, spread over all instances."""
         callers = []
         for step in range(round(seconds / STEP_S)):
@@ -57,7 +57,7 @@
 
     def limit_busiest(self, limit):
         """Make the target that gets most requests announce a limit."""
-        self.ask(2.0, 6.0)
+        self.send_requests(2.0, 6.0)
         busiest = max(self.fleet.targets, key=lambda target: len(target.arrivals))
         busiest.limit = limit
         self.named_at = now()
@@ -77,7 +77,7 @@
         """Guards against a limit that instances ignore, or each apply in full."""
         self.start(size, targets=9)
         busiest = self.limit_busiest(1.0)
-        callers = self.ask(10.0, 6.0)
+        callers = self.send_requests(10.0, 6.0)
         advance(1.0)
         self.assert_within_limit(busiest)
         # Other targets have capacity for the remaining requests.
@@ -90,7 +90,7 @@
         (target,) = self.fleet.targets
         target.limit = 2.0
         self.named_at = now()
-        callers = self.ask(14.0, 6.0)
+        callers = self.send_requests(14.0, 6.0)
         self.assert_within_limit(target)
         used = len(self.bounded(target)) / (now() - self.named_at - STABLE_S)
         self.assertGreaterEqual(used, USED_FRACTION * target.limit)
@@ -113,22 +113,22 @@
         (target,) = self.fleet.targets
         target.limit = 3.0
         self.named_at = now()
-        self.ask(6.0, 12.0)
+        self.send_requests(6.0, 12.0)
         key = f"{target.id} 0"
         peers = next(iter(self.fleet.peers))
         name = rank_owners(peers, key, target.zone)[0]
         disrupt(self.fleet, next(p for p in self.fleet.peers if p.own.id == name))
-        self.ask(8.0, 12.0)
+        self.send_requests(8.0, 12.0)
         self.assert_within_limit(target)
 
     def test_a_target_without_its_former_limit_gets_its_requests_again(self):
         """Guards against a target that is avoided for ever, or overloaded at once."""
         self.start(7, targets=9)
         busiest = self.limit_busiest(0.5)
-        self.ask(6.0, 6.0)
+        self.send_requests(6.0, 6.0)
         busiest.limit = None
         lifted_at = now()
-        self.ask(6.0, 6.0)
+        self.send_requests(6.0, 6.0)
         after = [a.moment for a in busiest.arrivals if a.moment > lifted_at + STABLE_S]
         self.assertGreater(len(after), 6)
         self.assertLessEqual(max_in_window(after), 6.0 * WINDOW_S + SLACK)
@@ -139,7 +139,7 @@
         (target,) = self.fleet.targets
         target.limit = 5.0
         self.named_at = now()
-        self.ask(4.0, 30.0)
+        self.send_requests(4.0, 30.0)
         free_at = now() + 6.0
 
         def delay(run, choice):
@@ -147,5 +147,5 @@
             run._inputs = ()
 
         with mock.patch.object(streams._StreamRun, "_run_stages", delay):
-            self.ask(10.0, 30.0)
+            self.send_requests(10.0, 30.0)
         self.assert_within_limit(target)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -38,7 +38,7 @@
             for _ in range(calls)
         ]
 
-    def ask(self, holder: str = "b1", lifetime: float = 5.0) -> PermitAnswer:
+    def request_permit(self, holder: str = "b1", lifetime: float = 5.0) -> PermitAnswer:
         home = self.fleet.daemons[self.home_id()]
         return home.home.grant(PermitQuery("stock-a", holder, lifetime))
 
@@ -72,14 +72,14 @@
         # An instance is killed while its call runs at a cold target. Its permit expires
         # but the call runs on; another call in its place would exceed the limit.
         self.target.in_flight = 2
-        self.assertTrue(self.ask().permit)
-        self.assertTrue(self.ask().permit)
-        self.assertFalse(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
+        self.assertTrue(self.request_permit().permit)
+        self.assertFalse(self.request_permit().permit)
         advance(6.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
         self.target.in_flight = 0
         advance(1.0)
-        self.assertTrue(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
 
     def test_timed_out_call_keeps_its_permit(self):
         # A call at a cold target times out. The daemon closes the connection, which a
@@ -113,20 +113,20 @@
         # One call has outlived its permit, and another permit is granted but not yet
         # used. The one call that the target reports is the old one. The model checker
         # found this case.
-        first = self.ask(lifetime=1.0)
+        first = self.request_permit(lifetime=1.0)
         self.target.in_flight = 1
         advance(1.5)
-        second = self.ask()
+        second = self.request_permit()
         self.assertTrue(first.permit and second.permit)
         advance(1.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
 
     def test_target_without_load_reports_frees_no_permits(self):
-        self.ask()
-        self.ask()
+        self.request_permit()
+        self.request_permit()
         self.target.is_load_unreadable = True
         advance(8.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
 
     def test_warm_target_needs_no_permit(self):
         self.target.cold = False
@@ -146,11 +146,11 @@
         self.target.in_flight = 5
         self.target.cold = True
         advance(5.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
         self.target.in_flight = 1
         advance(20.0)
-        self.assertTrue(self.ask().permit)
-        self.assertFalse(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
+        self.assertFalse(self.request_permit().permit)
 
     def test_peers_may_still_consider_it_warm(self):
         # The target turns cold while idle. Instances that don't know this yet send
@@ -159,9 +159,9 @@
         advance(1.0)
         self.target.cold = True
         advance(1.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
         advance(4.0)
-        self.assertTrue(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
 
     def test_pause_between_permit_and_send(self):
         # The process gets its permit, is paused, and resumes after the permit has
@@ -198,11 +198,11 @@
         # The home is replaced. Its permits may be in use and, if it is only paused or
         # cut off, it may grant more for a while.
         self.target.in_flight = 2
-        self.ask()
-        self.ask()
+        self.request_permit()
+        self.request_permit()
         self.remove_home()
-        self.assertFalse(self.ask().permit)
-        advance_until(lambda: bool(self.ask().permit), limit=20.0, step=0.5)
+        self.assertFalse(self.request_permit().permit)
+        advance_until(lambda: bool(self.request_permit().permit), limit=20.0, step=0.5)
 
     def remove_home(self):
         name = self.home_id()
@@ -216,9 +216,9 @@
     def test_new_home_waits_until_the_old_permits_have_expired(self):
         self.remove_home()
         advance(TAKEOVER_S - 2.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
         advance(3.0)
-        self.assertTrue(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
 
     def test_paused_home_stops_granting(self):
         # The home is paused while the list changes and doesn't notice on resuming;
@@ -231,15 +231,15 @@
     def test_home_without_the_platform_stops_granting(self):
         self.fleet.instance_list.down = True
         advance(7.0)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
         self.fleet.instance_list.down = False
         advance(2.0)
-        self.assertTrue(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
 
     def test_planned_stop_transfers_permits(self):
         # A planned stop should not make a cold target unavailable for a quarter of a
         # minute.
-        self.ask()
+        self.request_permit()
         old = self.home_id()
         self.target.in_flight = 1
         run_green(lambda: self.home.stop(lambda: None))
@@ -248,8 +248,8 @@
         self.fleet.publish_list()
         advance(2.0)
         self.assertNotEqual(self.home_id(), old)
-        self.assertTrue(self.ask().permit)
-        self.assertFalse(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
+        self.assertFalse(self.request_permit().permit)
 
     def test_stopping_home_grants_nothing(self):
         run_green(lambda: self.home.stop(lambda: None))
@@ -269,9 +269,9 @@
         self.fleet.publish_list()
         advance(1.0)
         self.assertEqual(self.home_id(), name)
-        self.assertFalse(self.ask().permit)
+        self.assertFalse(self.request_permit().permit)
         advance(20.0)
-        self.assertTrue(self.ask().permit)
+        self.assertTrue(self.request_permit().permit)
 
     def test_limit_holds_through_kill_and_load(self):
         # The home is killed under steady load, and the list is updated.
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -381,12 +381,12 @@
         request = Request(self.daemon.views.declaration.teams["crews"], "plan", 4, 5)
         stage = Stage("encode", "", "/v1/stages/encode", b"{}")
         stages = self.daemon.callers._stages
-        wanted = stages.call_requirements(request, stage, frozenset())
-        waiting = eventlet.spawn(pools.acquire, wanted)
+        requirements = stages.call_requirements(request, stage, frozenset())
+        waiting = eventlet.spawn(pools.acquire, requirements)
         advance(0.01)
-        pool = pools._pool(wanted)
+        pool = pools._pool(requirements)
         waiter = next(
-            e.waiter for e in pool.queue._heap if e.waiter.requirements is wanted
+            e.waiter for e in pool.queue._heap if e.waiter.requirements is requirements
         )
         target = self.daemon.targets.by_id["encode-a"]
         before = target.in_flight
