--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -82,7 +82,7 @@
     Attributes:
         daemon_by_address: The daemons that are running.
         cut_links: Ids of sender and receiver of each link that is cut.
-        frozen: Instances that neither send nor receive.
+        frozen: Ids and addresses of instances that neither send nor receive.
         unanswered_types: Types of messages whose responses are lost.
         held_datagrams: Heartbeats to frozen instances, which were not delivered.
         sent: Sender, address and message of each call.
@@ -273,6 +273,17 @@
         timing: Lines of the ``[timing]`` section of the daemons' settings.
         daemons_per_zone: Number of entry instances in each zone.
         target_lines: Additional lines of each target's section in the declaration.
+
+    Attributes:
+        network: Carries the messages between the daemons.
+        config: Publishes the declaration.
+        instance_list: Publishes the instance list.
+        zone_states: State of each zone in the next declaration.
+        targets: Every target by its id.
+        target_by_address: Every target by its address.
+        daemons: The latest daemon of each id.
+        instances: The entry instances in the next instance list.
+        list_version: Version of the latest instance list.
     """
 
     def __init__(
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -20,7 +20,7 @@
 
 
 def choose(candidates, *, objective=1.0, prompt=PROMPT):
-    """Choose an engine for a request whose stages take 0.3 s at each zone."""
+    """Choose an engine for a request whose stages take 0.3 s in every zone."""
     tokens = sum(part.tokens for part in prompt)
     return choose_engine(
         candidates, prompt, tokens, objective=objective, stage_seconds=lambda _: 0.3
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -20,7 +20,7 @@
 
 
 def late_tries(fleet):
-    """Return the tries of the fatal request that reached targets too late."""
+    """Return the tries that reached targets once the request was known as fatal."""
     arrivals = sorted(
         arrival
         for target in fleet.targets
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -64,7 +64,7 @@
         return busiest
 
     def bounded(self, target):
-        """Return the arrival times from when all instances must apply the limit."""
+        """Return the arrival times since all instances must apply the limit."""
         since = self.named_at + STABLE_S
         return [a.moment for a in target.arrivals if a.moment >= since]
 
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -25,13 +25,13 @@
 
     @parameterized.expand(
         [
-            ("integer", b"3", 3.0),
+            ("whole", b"3", 3.0),
             ("decimal", b" 0.25 ", 0.25),
             ("none", None, None),
             ("negative", b"-1", None),
-            ("infinity", b"inf", None),
+            ("word", b"inf", None),
             ("exponent", b"1e3", None),
-            ("empty", b"", None),
+            ("nothing", b"", None),
         ]
     )
     def test_limit(self, _, value, limit):
@@ -54,8 +54,8 @@
             ("named", [2.0], 2.0, 1),
             ("named_again", [2.0, 2.0, 2.0], 2.0, 1),
             ("changed", [2.0, 0.5], 0.5, 2),
-            ("removed", [2.0, None, None], None, 2),
-            ("named_after_removal", [2.0, None, 1.0], 1.0, 3),
+            ("ended", [2.0, None, None], None, 2),
+            ("named_anew", [2.0, None, 1.0], 1.0, 3),
         ]
     )
     def test_the_latest_response_holds_and_only_changes_are_published(
@@ -97,7 +97,7 @@
     def test_only_a_request_that_ran_removes_a_limit(
         self, _, status, not_run, limit, expected
     ):
-        """Guards against rejections without a limit that remove the limit."""
+        """Guards against a limit that a rejection removes by not repeating it."""
         recorded = []
         state = TargetState(TARGET, lambda target, limit: recorded.append(limit))
         connection = mock.Mock()
--- a/tests/test_peer_discovery.py
+++ b/tests/test_peer_discovery.py
@@ -76,7 +76,7 @@
         self.inside.is_zone_unreachable = lambda zone: zone != "c"
         self.assertEqual(self.zone_of(self.owner()), "c")
 
-    def test_an_unresponsive_owner_is_not_asked_again_until_received(self):
+    def test_an_unresponsive_owner_is_not_asked_before_its_next_heartbeat(self):
         """Guards against requests that each wait for the same dead owner."""
         self.fleet.cut_off("c")
         unresponsive = set()
