--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at a daemon's interfaces: network, platform and targets."""
+"""Fakes for the interfaces of a daemon: its network, platform and targets."""
 
 from collections.abc import Callable
 from typing import Any
@@ -33,7 +33,14 @@
 
 
 class FakePlatform:
-    """What the platform publishes, per reader if need be."""
+    """A value that the platform publishes; it may differ for each reader.
+
+    Attributes:
+        payload: The published value; empty before the first one.
+        down: Whether no reader reaches the platform.
+        payload_by_reader: Values that certain readers get instead.
+        down_readers: Readers that don't reach the platform.
+    """
 
     def __init__(self) -> None:
         self.payload = b""
@@ -42,19 +49,19 @@
         self.down_readers: set[str] = set()
 
     def reader(self, name: str) -> "FakeReader":
-        """Make the reader of one instance."""
+        """Return the reader of one instance."""
         return FakeReader(self, name)
 
 
 class FakeReader:
-    """Answers at once; a real service would hold the watch."""
+    """Reads a published value at once, where a real service waits for a change."""
 
     def __init__(self, platform: FakePlatform, name: str) -> None:
         self._platform = platform
         self._name = name
 
     def read(self, tag: str, wait: float) -> PublishedValue | None:
-        """Read the value."""
+        """Return the value, or None if it is empty or has the given tag."""
         platform = self._platform
         eventlet.sleep(0)
         if platform.down or self._name in platform.down_readers:
@@ -70,35 +77,44 @@
 
 
 class FakeNetwork:
-    """Carries messages between daemons; links can be cut, one way or both."""
+    """Carries messages between daemons; links can be cut in one or both directions.
+
+    Attributes:
+        daemon_by_address: The daemons that are running.
+        cut_links: Ids of sender and receiver of each link that is cut.
+        frozen: Ids and addresses of instances that neither send nor receive.
+        unanswered_types: Types of messages whose responses are lost.
+        held_datagrams: Heartbeats to frozen instances, which were not delivered.
+        sent: Sender, address and message of each call.
+    """
 
     def __init__(self) -> None:
         self.daemon_by_address: dict[str, Daemon] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.frozen: set[str] = set()
-        self.lose_answers: set[type] = set()
+        self.unanswered_types: set[type] = set()
         self.held_datagrams: list[tuple[Any, str]] = []
         self.sent: list[tuple[str, str, Any]] = []
 
-    def separate(self, ones: list[str], others: list[str]) -> None:
-        """Cut every link between two groups."""
-        self.cut |= {(one, other) for one in ones for other in others}
-        self.cut |= {(other, one) for one in ones for other in others}
+    def partition(self, group: list[str], other_group: list[str]) -> None:
+        """Cut every link between two groups of instances."""
+        self.cut_links |= {(one, other) for one in group for other in other_group}
+        self.cut_links |= {(other, one) for one in group for other in other_group}
 
     def heal(self) -> None:
-        """Mend every link."""
-        self.cut.clear()
+        """Restore every link."""
+        self.cut_links.clear()
 
     def reaches(self, sender: str, address: str) -> bool:
-        """Tell whether a message from one instance gets to an address."""
+        """Return whether a message from an instance reaches an address."""
         receiver = self.daemon_by_address.get(address)
         if receiver is None or address in self.frozen or sender in self.frozen:
             return False
-        return (sender, receiver.settings.daemon.id) not in self.cut
+        return (sender, receiver.settings.daemon.id) not in self.cut_links
 
 
 class FakeLink:
-    """Calls one daemon directly, through the codec."""
+    """Calls the handlers of one daemon, with messages encoded and decoded."""
 
     def __init__(self, network: FakeNetwork, sender: str, address: str) -> None:
         self._network = network
@@ -106,7 +122,7 @@
         self._address = address
 
     def call(self, message: Any, timeout: float) -> Any:
-        """Send a message and wait for its answer."""
+        """Send a message and wait for its response."""
         network = self._network
         network.sent.append((self._sender, self._address, message))
         if not network.reaches(self._sender, self._address):
@@ -120,17 +136,17 @@
             done.send(daemon.handlers()[type(message)](received))
 
         eventlet.spawn_n(serve)
-        answer = done.wait(timeout=timeout)
-        if answer is None or type(message) in network.lose_answers:
-            raise PeerUnreachableError("no answer in time")
-        return decode(encode(answer), RESPONSE_TYPES[type(message)])
+        response = done.wait(timeout=timeout)
+        if response is None or type(message) in network.unanswered_types:
+            raise PeerUnreachableError("no response in time")
+        return decode(encode(response), ANSWER_BY_QUERY[type(message)])
 
     def close(self) -> None:
         """Do nothing."""
 
 
 class FakeHeartbeats:
-    """Delivers heartbeats at once."""
+    """Delivers heartbeats without delay."""
 
     def __init__(self, network: FakeNetwork, sender: str) -> None:
         self._network = network
@@ -147,23 +163,37 @@
 
 
 class FakeTarget:
-    """One target: its load, and what it does with a call."""
+    """A target with a published load and a configurable handler of calls.
+
+    Attributes:
+        id: Its id in the declaration.
+        kind: Its kind in the declaration.
+        cold: Whether it reports that it is cold.
+        in_flight: Calls that are running.
+        max_in_flight: The most calls that were running at the same time.
+        calls: Every call that it received.
+        seconds: Duration of each call.
+        refuses_connections: Whether connections to it fail.
+        handle: Returns the reply to a call, or the chunks of a stream.
+        is_load_unreadable: Whether reading its load fails.
+        models: Models that it reports as loaded; None if it reports none.
+    """
 
     def __init__(self, target_id: str, kind: str) -> None:
         self.id = target_id
         self.kind = kind
         self.cold = False
         self.in_flight = 0
-        self.most_in_flight = 0
+        self.max_in_flight = 0
         self.calls: list[Call] = []
         self.seconds = 0.0
         self.refuses_connections = False
         self.handle: Callable[[Call], Reply] = lambda call: Reply(200, b"{}")
-        self.load_silent = False
+        self.is_load_unreadable = False
         self.models: list[str] | None = None
 
     def load(self) -> bytes:
-        """What it publishes of its load."""
+        """Return the load report that the target publishes."""
         load = {
             "target": self.id,
             "cold": self.cold,
@@ -174,7 +204,7 @@
 
 
 class FakeConnections(Connections):
-    """Calls fake targets."""
+    """Sends calls to fake targets."""
 
     def __init__(self, target_by_address: dict[Address, FakeTarget]) -> None:
         super().__init__()
@@ -182,7 +212,7 @@
         self.before_guard: Callable[[], None] = lambda: None
 
     def post(self, address: Address, call: Call, guard: Guard) -> Reply:
-        """Post and return the answer."""
+        """Send a call and return its reply."""
         target = self._target_by_address[address]
         if target.refuses_connections:
             raise TargetError("connect: refused", sent=False)
@@ -190,37 +220,39 @@
         guard()
         target.calls.append(call)
         target.in_flight += 1
-        target.most_in_flight = max(target.most_in_flight, target.in_flight)
+        target.max_in_flight = max(target.max_in_flight, target.in_flight)
         try:
             with eventlet.Timeout(call.deadline - now()):
                 eventlet.sleep(target.seconds)
             return target.handle(call)
         except eventlet.Timeout as error:
-            raise TargetError("no answer in time", sent=True, timed_out=True) from error
+            raise TargetError(
+                "no response in time", sent=True, timed_out=True
+            ) from error
         finally:
             target.in_flight -= 1
 
     def open_stream(self, address: Address, call: Call, guard: Guard) -> "FakeStream":
-        """Post and return the stream that the target's ``handle`` makes."""
+        """Send a call and return a stream of the chunks that the target returns."""
         target = self._target_by_address[address]
         guard()
         target.calls.append(call)
         return FakeStream(target.handle(call))
 
     def post_once(self, address: Address, call: Call, guard: Guard) -> Reply:
-        """Post and return the answer."""
+        """Send a call and return its reply."""
         return self.post(address, call, guard)
 
 
 class FakeStream:
-    """A token stream given as a list of chunks; an exception in it is raised."""
+    """A token stream made from a list of chunks; an exception in it is raised."""
 
     def __init__(self, chunks: list[bytes | Exception]) -> None:
         self._chunks = list(chunks)
         self.closed = False
 
     def read_available(self, silence: float) -> bytes:
-        """Read the next chunk; none are left at the end."""
+        """Return the next chunk, or no bytes at the end of the stream."""
         if not self._chunks:
             return b""
         chunk = self._chunks.pop(0)
@@ -234,13 +266,24 @@
 
 
 class FakeFleet:
-    """Some daemons in three zones over one fake network.
+    """Daemons and targets in three zones, over one fake network.
 
     Args:
-        kinds: Kinds of target, one of each in each zone.
-        timing: Lines of the ``[timing]`` section.
-        daemons_per_zone: Entry instances in each zone.
-        target_lines: Further lines of each target's declaration.
+        kinds: Kinds of target; each zone has one target of each kind.
+        timing: Lines of the ``[timing]`` section of the daemons' settings.
+        daemons_per_zone: Number of entry instances in each zone.
+        target_lines: Additional lines of each target's section in the declaration.
+
+    Attributes:
+        network: Carries the messages between the daemons.
+        config: Publishes the declaration.
+        instance_list: Publishes the instance list.
+        zone_states: State of each zone in the next declaration.
+        targets: Every target by its id.
+        target_by_address: Every target by its address.
+        daemons: The latest daemon of each id.
+        instances: The entry instances in the next instance list.
+        list_version: Version of the latest instance list.
     """
 
     def __init__(
@@ -253,19 +296,19 @@
     ) -> None:
         self.network = FakeNetwork()
         self.config = FakePlatform()
-        self.list = FakePlatform()
+        self.instance_list = FakePlatform()
         self.kinds = kinds
         self.timing = timing
         self.target_lines = target_lines
         self.zone_states = dict.fromkeys(ZONES, "in")
         self.targets: dict[str, FakeTarget] = {}
-        self.by_address: dict[Address, FakeTarget] = {}
+        self.target_by_address: dict[Address, FakeTarget] = {}
         for number, zone in enumerate(ZONES):
             for index, kind in enumerate(kinds):
                 target = FakeTarget(f"{kind}-{zone}", kind)
                 self.targets[target.id] = target
                 port = 1000 + 100 * number + index
-                self.by_address[Address("10.0.0.1", port)] = target
+                self.target_by_address[Address("10.0.0.1", port)] = target
         self.daemons: dict[str, Daemon] = {}
         self._started: list[Daemon] = []
         self.instances: dict[str, Instance] = {}
@@ -277,7 +320,7 @@
         self.publish_list()
 
     def add_daemon(self, name: str, zone: str) -> Daemon:
-        """Start a daemon, in place of an earlier one of the same name."""
+        """Add a daemon, which replaces an earlier one of the same name."""
         address = f"10.1.0.{len(self.instances) + 1}:7000"
         self.instances[name] = Instance(name, zone, "entry", "live", address)
         settings = parse_settings(
@@ -288,11 +331,11 @@
         )
         interfaces = Interfaces(
             config=self.config.reader(name),
-            instances=self.list.reader(name),
+            instances=self.instance_list.reader(name),
             link_factory=lambda to: FakeLink(self.network, name, to),
             heartbeats=FakeHeartbeats(self.network, name),
             read_load=self._read_load,
-            connections=FakeConnections(self.by_address),
+            connections=FakeConnections(self.target_by_address),
         )
         daemon = Daemon(settings, interfaces, _SILENT)
         self.daemons[name] = daemon
@@ -301,13 +344,13 @@
         return daemon
 
     def start(self, seconds: float = 3.0) -> None:
-        """Start every daemon and let them hear each other."""
+        """Start every daemon and advance the clock until they know each other."""
         for daemon in self.daemons.values():
             daemon.spawn()
         advance(seconds)
 
     def close(self) -> None:
-        """End every daemon that was ever started."""
+        """Stop every daemon that was added, including replaced and killed ones."""
         self.network.daemon_by_address.clear()
         for daemon in self._started:
             daemon.peers.neighbours = {}
@@ -316,61 +359,63 @@
         settle()
 
     def kill(self, name: str) -> None:
-        """End a daemon without a word."""
+        """Make a daemon unreachable without a planned stop."""
         del self.network.daemon_by_address[self.instances[name].peer_address]
 
     def declaration(self, revision: int, extra: str = "") -> str:
-        """A declaration's text."""
-        parts = [f"[declaration]\nname = test\nrevision = {revision}"]
-        parts += [
+        """Return the text of a declaration."""
+        sections = [f"[declaration]\nname = test\nrevision = {revision}"]
+        sections += [
             f"[zone {z}]\nstate = {state}" for z, state in self.zone_states.items()
         ]
-        parts += [f"[team crews]\nkey_digests = {digest_key(KEY)}"]
-        for address, target in self.by_address.items():
+        sections += [f"[team crews]\nkey_digests = {digest_key(KEY)}"]
+        for address, target in self.target_by_address.items():
             repeatable = "no" if target.kind == "orders" else "yes"
-            parts += [
+            sections += [
                 f"[target {target.id}]\nzone = {target.id[-1]}\nkind = {target.kind}",
                 f"address = {address}\nrepeatable = {repeatable}\n{self.target_lines}",
             ]
-        return "\n".join([*parts, extra])
+        return "\n".join([*sections, extra])
 
     def publish(self, revision: int, extra: str = "") -> None:
-        """Publish a declaration."""
+        """Publish a declaration, and check that it is valid."""
         self.config.payload = self.declaration(revision, extra).encode()
         parse_declaration(self.config.payload.decode())
 
     def publish_list(self, leaving: tuple[str, ...] = ()) -> bytes:
-        """Publish the instance list."""
+        """Publish the instance list and return its encoded form."""
         self.list_version += 1
         by_id = dict(self.instances)
         for target in self.targets.values():
             state = "leaving" if target.id in leaving else "live"
             by_id[target.id] = Instance(target.id, target.id[-1], "target", state, "")
-        self.list.payload = encode_instances(InstanceList(self.list_version, by_id))
-        return self.list.payload
+        self.instance_list.payload = encode_instances(
+            InstanceList(self.list_version, by_id)
+        )
+        return self.instance_list.payload
 
     def set_cold(self, *target_ids: str) -> None:
-        """Have targets turn cold without a word; none named means all."""
+        """Make targets cold without a report; without arguments, all of them."""
         for target_id in target_ids or self.targets:
             self.targets[target_id].cold = True
 
     def revisions(self) -> list[int]:
-        """Revision in force at each daemon."""
+        """Return the revision in force at each daemon."""
         return [d.views.declaration.revision for d in self.daemons.values()]
 
     def calls(self, kind: str) -> list[Call]:
-        """Every call that any target of a kind got."""
+        """Return every call that targets of a kind received."""
         return [c for t in self.targets.values() if t.kind == kind for c in t.calls]
 
     def _read_load(self, address: Address) -> bytes:
-        target = self.by_address[address]
-        if target.load_silent:
+        target = self.target_by_address[address]
+        if target.is_load_unreadable:
             raise OSError("silent")
         return target.load()
 
 
 def run_green(function: Callable[[], Any]) -> "Result":
-    """Run a function in a green thread and keep its result."""
+    """Run a function in a green thread and return a holder of its result."""
     result = Result()
 
     def run() -> None:
@@ -386,7 +431,13 @@
 
 
 class Result:
-    """What a green thread came to."""
+    """The result of a function in a green thread.
+
+    Attributes:
+        done: Whether the function has returned or raised.
+        value: The value that it returned.
+        error: The exception that it raised.
+    """
 
     def __init__(self) -> None:
         self.done = False
--- a/tests/_stages.py
+++ b/tests/_stages.py
@@ -1,11 +1,11 @@
-"""Entries of stage targets, as the platform lists them."""
+"""Batching settings and store entries of stage targets."""
 
 import msgspec
 
 from bergamotsaddle_serving.catalog import Batching
 from bergamotsaddle_serving.messages import StoreEntry
 
-FOUR_A_CALL = Batching(
+FOUR_PER_CALL = Batching(
     slots=1,
     size=4,
     call_seconds=0.15,
@@ -25,7 +25,7 @@
 
 
 def target_entry(name, service, port, zone="a"):
-    """An entry of a stage target."""
+    """Return the store entry of a stage target."""
     fields = {
         "service": service,
         "address": f"10.0.0.1:{port}",
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures."""
+"""The list of tests that are known to fail."""
 
 import unittest
 from types import SimpleNamespace
@@ -6,17 +6,17 @@
 from nose2 import result
 from parameterized import parameterized
 
-from tests._known_red import KnownRed, read_names
+from tests._known_red import KnownRed, read_known_failures
 
 LINE = "tests.test_a.ATest.test_b | make test | a request was lost | 22"
 
 
 class KnownRedTest(unittest.TestCase):
-    """Outcomes of tests with and without a line."""
+    """Outcomes of tests that are listed or not."""
 
     def setUp(self):
         self.plugin = KnownRed.__new__(KnownRed)
-        self.plugin._line_by_name = read_names(f"# comment\n\n{LINE}\n")
+        self.plugin._line_by_name = read_known_failures(f"# comment\n\n{LINE}\n")
 
     @parameterized.expand(
         [
@@ -39,6 +39,6 @@
         self.assertEqual(event.outcome, expected_outcome)
         self.assertEqual(event.expected, is_expected)
 
-    def test_a_line_without_its_issue_is_refused(self):
+    def test_a_line_without_its_issue_is_invalid(self):
         with self.assertRaisesRegex(ValueError, "expected test"):
-            read_names("tests.test_a.ATest.test_b | make test | seen")
+            read_known_failures("tests.test_a.ATest.test_b | make test | seen")
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -49,6 +49,6 @@
         # An address may be reused when instances are replaced. A report from the
         # process that listens there now must not be attributed to this target.
         target = self.daemon.targets.by_id["kind-00-a"]
-        self.fleet.by_address[target.declared.address].id = "somebody-else"
+        self.fleet.target_by_address[target.declared.address].id = "somebody-else"
         advance(4.0)
         self.assertTrue(target.is_cold())
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -13,7 +13,7 @@
     StageQueue,
     isolate_suspects,
 )
-from tests._stages import FOUR_A_CALL
+from tests._stages import FOUR_PER_CALL
 
 LARGE = 3_000_000
 SMALL = 8_000
@@ -78,7 +78,7 @@
         ]
     )
     def test_first(self, _, first, second):
-        queue = StageQueue(FOUR_A_CALL._replace(size=1))
+        queue = StageQueue(FOUR_PER_CALL._replace(size=1))
         queue.add(second)
         queue.add(first)
         self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["a"])
@@ -93,7 +93,7 @@
         If single pieces were popped as they fit, two requests would each hold two
         results and wait for the third until both callers disconnect.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for request in "abcdef":
             for number in range(3):
                 queue.add(piece(request, number, result_bytes=LARGE))
@@ -119,7 +119,7 @@
 
         A call with only the pieces that fit keeps the target busy.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(3):
             queue.add(piece("large", number, result_bytes=LARGE))
         queue.add(piece("small", urgency=2))
@@ -131,7 +131,7 @@
         Small results take a thousandth of the memory. With none free they would wait
         until the large ones are released, and half of the call's places stay empty.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(3):
             queue.add(piece(f"large{number}", result_bytes=LARGE))
         for number in range(6):
@@ -139,9 +139,9 @@
         batch = queue.pop_batch(0.0, 2.0 * LARGE)
         self.assertEqual([p.result_bytes for p in batch], [LARGE, SMALL, SMALL, SMALL])
 
-    def test_a_result_that_fills_a_target_is_not_starved(self):
-        """A result takes all of a target's memory, and small ones wait all the time."""
-        queue = StageQueue(FOUR_A_CALL)
+    def test_a_result_that_fills_a_target_is_made_beside_small_ones(self):
+        """A result takes all of a target's room, and small ones wait all the time."""
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=18_000_000))
         queue.add(piece("small", urgency=1))
         self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["large"])
@@ -152,22 +152,22 @@
         A call costs as much as five pieces. A call with a single one of many waiting
         pieces halves the throughput of the target in a burst.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for request in "abcdef":
             queue.add(piece(request, result_bytes=LARGE))
         self.assertEqual(queue.pop_batch(0.0, 4e6, may_wait=True), [])
         self.assertEqual(len(queue.pop_batch(0.0, 4e6)), 1)
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, may_wait=True)), 4)
 
-    def test_pieces_that_cannot_finish_in_time_are_removed(self):
-        queue = StageQueue(FOUR_A_CALL)
+    def test_what_cannot_be_done_in_time_is_taken_out(self):
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a", expires_at=0.1))
         queue.add(piece("b", expires_at=1.0))
         self.assertEqual(request_ids(queue.pop_expired(0.0)), ["a"])
         self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["b"])
 
-    def test_pieces_of_cancelled_requests_are_removed(self):
-        queue = StageQueue(FOUR_A_CALL)
+    def test_cancelled_requests_leave(self):
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a"))
         queue.add(piece("b"))
         queue.cancel("a")
@@ -179,7 +179,7 @@
         The remaining pieces are gone. An owner that kept memory reserved for them would
         stop calling its targets.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(6):
             queue.add(piece("a", number, result_bytes=LARGE))
         self.assertEqual(len(queue.pop_batch(0.0, 18e6)), 4)
@@ -193,13 +193,13 @@
         If an old piece were taken for a new one, the request would get a released
         result and fail once more.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a"))
         queue.add(piece("a", key=PieceKey("a", 0, 0, 1)))
         self.assertEqual(len(queue), 2)
 
-    def test_drain_distinguishes_urgencies(self):
-        queue = StageQueue(FOUR_A_CALL)
+    def test_drain_counts_urgencies_apart(self):
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(8):
             queue.add(piece("a", number, urgency=2))
         drains = queue.drains(1, 0.1, 1.0)
@@ -213,7 +213,7 @@
         Summaries are more urgent. If each of them went first, the result of the chat's
         first stage would expire, and all work for the chat would be lost.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("chat", urgency=2, has_started=True, objective_at=1.0))
         for number in range(8):
             objective_at = 1.2 + 0.1 * number
@@ -232,7 +232,7 @@
         With the same forecast, new ones would be admitted although the queue goes
         before them, and finish late.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(4):
             queue.add(piece("begun", number, urgency=2, has_started=True))
             queue.add(piece("fresh", number, urgency=0))
@@ -247,7 +247,7 @@
         Requests that can still be on time go first. The late ones would wait until
         their callers disconnect, instead of being asked to retry.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(12):
             queue.add(piece(f"r{number}", objective_at=5.0))
         queue.add(piece("late", objective_at=1.0))
@@ -266,7 +266,7 @@
         run anywhere: moving the result costs less than the wait.
         """
         busy = OtherTarget("a", free_in=0.2, free_bytes=18e6)
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         queue.add(piece("small", zone="a", zone_bytes=SMALL))
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[busy])
@@ -280,7 +280,7 @@
         Their results are small, but 8 MB would cross zones for one request.
         """
         free = OtherTarget("a", free_in=0.1, free_bytes=18e6)
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a", has_started=True, zone="a", zone_bytes=480_000))
         self.assertEqual(queue.pop_batch(0.0, 18e6, zone="b", others=[free]), [])
         batch = queue.pop_batch(0.0, 18e6, zone="a")
@@ -292,7 +292,7 @@
         If the other two ran in another zone, the next stage would fetch its inputs from
         two zones.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(6):
             queue.add(piece("a", number))
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, zone="a")), 4)
@@ -302,7 +302,7 @@
         self.assertEqual(len(batch), 2)
 
     def test_large_results_leave_a_zone_without_a_target(self):
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=LARGE, zone="a", zone_bytes=LARGE))
         other = OtherTarget("c", free_in=0.0, free_bytes=18e6)
         batch = queue.pop_batch(0.0, 18e6, zone="b", others=[other])
@@ -314,7 +314,7 @@
         If a stage started only when one target could hold all of it, such requests
         would wait until their callers disconnect.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for number in range(8):
             queue.add(piece("a", number, result_bytes=LARGE))
         self.assertEqual(queue.pop_batch(0.0, 18e6), [])
@@ -328,7 +328,7 @@
         If both started, each would hold some results and wait for memory that only the
         other one releases.
         """
-        queue = StageQueue(FOUR_A_CALL)
+        queue = StageQueue(FOUR_PER_CALL)
         for request in "ab":
             for number in range(8):
                 queue.add(piece(request, number, result_bytes=LARGE))
