--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -139,7 +139,7 @@
         response = done.wait(timeout=timeout)
         if response is None or type(message) in network.unanswered_types:
             raise PeerUnreachableError("no response in time")
-        return decode(encode(response), ANSWER_BY_QUERY[type(message)])
+        return decode(encode(response), RESPONSE_TYPES[type(message)])
 
     def close(self) -> None:
         """Do nothing."""
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -86,7 +86,7 @@
         self.assertEqual((result.value.status, result.value.json["ran"]), (503, "no"))
 
     def test_every_error_kind_has_a_response(self):
-        self.assertEqual(set(ANSWERS), set(ErrorKind))
+        self.assertEqual(set(ERROR_SPECS), set(ErrorKind))
 
 
 class LimitTest(CallerCase):
--- a/tests/test_cause.py
+++ b/tests/test_cause.py
@@ -46,4 +46,4 @@
         ]
     )
     def test_cause(self, _, lines, expected):
-        self.assertIn(expected, tell_cause(lines))
+        self.assertIn(expected, describe_cause(lines))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -134,7 +134,7 @@
     def read(self, address: str, path: str) -> Page:
         name = {"127.0.0.1:1": "a1", "127.0.0.1:2": "b1"}.get(address)
         if name is None:
-            raise UnreachableError(f"{address}: refused")
+            raise DaemonUnreachableError(f"{address}: refused")
         started = []
         environ = {"PATH_INFO": f"/{path}"}
         app = self.fleet.daemons[name].operators
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -81,7 +81,7 @@
 
     def test_ordinary_crashes_quarantine_nothing(self):
         """Guards against quarantines where targets crash for other reasons."""
-        fleet = VirtualFleet(7, targets=TARGETS, back_after=1.0)
+        fleet = VirtualFleet(7, targets=TARGETS, restart_after=1.0)
         fleet.start()
         advance(2.0)
         targets = list(fleet.targets)
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -129,7 +129,7 @@
         busiest.limit = None
         lifted_at = now()
         self.send_requests(6.0, 6.0)
-        after = [a.moment for a in busiest.arrivals if a.moment > lifted_at + STABLE_S]
+        after = [a.at for a in busiest.arrivals if a.at > lifted_at + STABLE_S]
         self.assertGreater(len(after), 6)
         self.assertLessEqual(max_in_window(after), 6.0 * WINDOW_S + SLACK)
 
--- a/tests/test_stage_queue.py
+++ b/tests/test_stage_queue.py
@@ -139,8 +139,8 @@
         batch = queue.pop_batch(0.0, 2.0 * LARGE)
         self.assertEqual([p.result_bytes for p in batch], [LARGE, SMALL, SMALL, SMALL])
 
-    def test_a_result_that_fills_a_target_is_made_beside_small_ones(self):
-        """A result takes all of a target's room, and small ones wait all the time."""
+    def test_a_result_that_fills_a_target_is_not_starved(self):
+        """A result takes all of a target's memory, and small ones wait all the time."""
         queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("large", result_bytes=18_000_000))
         queue.add(piece("small", urgency=1))
@@ -159,14 +159,14 @@
         self.assertEqual(len(queue.pop_batch(0.0, 4e6)), 1)
         self.assertEqual(len(queue.pop_batch(0.0, 18e6, may_wait=True)), 4)
 
-    def test_what_cannot_be_done_in_time_is_taken_out(self):
+    def test_pieces_that_cannot_finish_in_time_are_removed(self):
         queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a", expires_at=0.1))
         queue.add(piece("b", expires_at=1.0))
         self.assertEqual(request_ids(queue.pop_expired(0.0)), ["a"])
         self.assertEqual(request_ids(queue.pop_batch(0.0, 18e6)), ["b"])
 
-    def test_cancelled_requests_leave(self):
+    def test_pieces_of_cancelled_requests_are_removed(self):
         queue = StageQueue(FOUR_PER_CALL)
         queue.add(piece("a"))
         queue.add(piece("b"))
@@ -198,7 +198,7 @@
         queue.add(piece("a", key=PieceKey("a", 0, 0, 1)))
         self.assertEqual(len(queue), 2)
 
-    def test_drain_counts_urgencies_apart(self):
+    def test_drain_distinguishes_urgencies(self):
         queue = StageQueue(FOUR_PER_CALL)
         for number in range(8):
             queue.add(piece("a", number, urgency=2))
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -98,7 +98,7 @@
     def test_quarantine_ends_after_a_day(self):
         gossip = Gossip()
         suspects = Suspects(
-            gossip, lambda _: None, lambda: self.software_versions, SILENT
+            gossip, lambda _: None, lambda: self.software_versions, SILENT_LOGGER
         )
         for number in (1, 2, 3):
             suspects.record_crash(target(number), ["w"])
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -122,12 +122,12 @@
         advance(3.0)
         self.assertEqual(self.run_ticket(self.other).state, UNKNOWN)
 
-    def test_paused_issuer_wakes_after_the_caller_was_told(self):
-        # The issuer is cut off while it asks its witness. The caller gives up, asks
-        # elsewhere and is told "not run". When the issuer is heard again its start
-        # must be refused.
-        everyone = ["b1", "c1"]
-        self.world.network.partition(["a1"], everyone)
+    def test_a_cut_off_issuer_returns_after_not_run_was_reported(self):
+        # The issuer is cut off while it queries its witness. The caller times out and
+        # gets "not run" from another instance. When the issuer is reachable again its
+        # start must be rejected.
+        others = ["b1", "c1"]
+        self.fleet.network.partition(["a1"], others)
         advance(3.0)
         self.assertEqual(self.run_ticket(self.other).state, NOT_RUN)
         self.fleet.network.heal()
@@ -144,11 +144,11 @@
         self.assertEqual(self.runs(), 0)
         self.assertEqual(self.run_ticket(self.other).state, NOT_RUN)
 
-    def test_no_acknowledgement_no_run(self):
-        # The witness took note but its answer was lost. Sending anyway would be
-        # right this time and wrong when the note was lost too.
-        self.world.network.unanswered_types.add(StartRecord)
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+    def test_without_an_acknowledgement_nothing_runs(self):
+        # The witness recorded the start but its response was lost. Sending anyway would
+        # be right in this case, and wrong when the record was lost too.
+        self.fleet.network.unanswered_types.add(StartRecord)
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         self.assertEqual(self.runs(), 0)
 
     def test_lost_response_of_the_target(self):
@@ -213,10 +213,10 @@
         answer = self.witness.witness.record_start(StartRecord(self.ticket))
         self.assertFalse(answer.recorded)
 
-    def test_zone_cut_off_has_no_witness(self):
-        # A zone cut off goes on booking, at most once, and says that the outcome
-        # would be lost with the issuer.
-        self.world.network.partition(["a1"], ["b1", "c1"])
+    def test_a_zone_that_is_cut_off_has_no_witness(self):
+        # A zone that is cut off continues to book, at most once. A ticket without a
+        # witness says that its outcome would be lost with the issuer.
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         advance(3.0)
         _, self.ticket = self.issuer.tickets.issue("crews", "orders")
         self.assertEqual(self.ticket.witness, "")
@@ -286,8 +286,8 @@
         # The issuer could not reach its witness and reported "not run". After its stop
         # the witness must not run that ticket. The model checker found this fault.
         witness = self.witness.settings.daemon.id
-        self.world.network.partition(["a1"], [witness])
-        self.assertEqual(self.ask(self.issuer).state, NOT_RUN)
+        self.fleet.network.partition(["a1"], [witness])
+        self.assertEqual(self.run_ticket(self.issuer).state, NOT_RUN)
         advance(2.0)
         self.fleet.network.heal()
         advance(2.0)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -89,12 +89,12 @@
         self.assertEqual(self.fleet.revisions(), [3, 3, 3])
         self.assertEqual(self.fleet.daemons["a1"].views.rejected_faults, [])
 
-    def test_cut_off_and_returning(self):
-        # An instance is cut off from everybody while a change is made. On its
-        # return it must take the change over and not spread its own old state.
-        self.world.network.partition(["c1"], ["a1", "b1"])
-        self.world.config.down_readers = {"c1"}
-        self.world.publish(2)
+    def test_an_instance_that_was_cut_off_gets_the_change(self):
+        # An instance is cut off from all other instances while a change is published.
+        # When it returns it must apply the change and not spread its own old state.
+        self.fleet.network.partition(["c1"], ["a1", "b1"])
+        self.fleet.config.down_readers = {"c1"}
+        self.fleet.publish(2)
         advance(5.0)
         self.assertEqual(self.fleet.revisions(), [2, 2, 1])
         self.fleet.network.heal()
@@ -133,29 +133,29 @@
         replacement.peers.by_id["b1"].revision = 9
         self.assertFalse(replacement.peers.is_caught_up())
 
-    def test_start_with_silent_peers(self):
-        # A whole zone starts cut off from the others; it serves what it can.
-        self.world.network.partition(["c1"], ["a1", "b1"])
-        self.world.kill("c1")
-        fresh = self.world.add_daemon("c1", "c")
-        self.world.publish_list()
-        fresh.spawn()
+    def test_an_instance_with_silent_peers_becomes_ready(self):
+        # A complete zone starts cut off from the other zones. It serves what it can.
+        self.fleet.network.partition(["c1"], ["a1", "b1"])
+        self.fleet.kill("c1")
+        replacement = self.fleet.add_daemon("c1", "c")
+        self.fleet.publish_list()
+        replacement.spawn()
         advance(1.0)
         self.assertFalse(replacement.is_ready())
         advance(2.0)
         self.assertTrue(replacement.is_ready())
 
-    def test_old_list_is_not_taken(self):
-        old = self.world.instance_list.payload
-        self.world.publish_list()
+    def test_an_older_list_is_not_applied(self):
+        old = self.fleet.instance_list.payload
+        self.fleet.publish_list()
         advance(1.0)
-        self.world.instance_list.payload = old
+        self.fleet.instance_list.payload = old
         advance(1.0)
         versions = [d.views.instances.version for d in self.fleet.daemons.values()]
         self.assertEqual(versions, [2, 2, 2])
 
-    def test_malformed_list_changes_nothing(self):
-        self.world.instance_list.payload = b'{"version": "x"}'
+    def test_a_malformed_list_changes_nothing(self):
+        self.fleet.instance_list.payload = b'{"version": "x"}'
         advance(1.0)
         daemon = self.fleet.daemons["a1"]
         self.assertEqual(daemon.views.instances.version, 1)
@@ -176,17 +176,17 @@
         advance(20.0)
         self.assertFalse(self.daemon.views.is_stale())
 
-    def test_stale_when_cut_off(self):
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["b1", "c1"])
+    def test_views_are_stale_when_cut_off(self):
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         self.assertTrue(self.daemon.views.is_stale())
 
-    def test_datagrams_from_before_a_pause_prove_nothing(self):
-        # Heartbeats wait in the socket while the process is paused. Read after the
-        # pause they look new, and would make an old view look confirmed.
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["b1", "c1"])
+    def test_datagrams_from_before_a_pause_confirm_nothing(self):
+        # Heartbeats wait in the socket while the process is paused. When they are read
+        # after the pause they look new and would make a stale view look confirmed.
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         peer = self.daemon.peers.by_id["b1"]
         delayed = Heartbeat(
             "b1",
@@ -206,11 +206,11 @@
         self.daemon.peers.handle_heartbeat(delayed)
         self.assertTrue(self.daemon.views.is_stale())
 
-    def test_peer_that_has_just_woken_up_vouches_for_nothing(self):
-        # Both instances were paused, as on one machine. The peer's heartbeat is new
-        # but what it knows is as old as the pause.
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["c1"])
+    def test_a_peer_that_was_paused_confirms_nothing(self):
+        # Both instances were paused, as on one machine. The peer's heartbeat is new but
+        # its views are as old as the pause.
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["c1"])
         peer = self.daemon.peers.by_id["b1"]
         freeze(30.0)
         heartbeat = self.daemon.peers._make_heartbeat(peer)
@@ -227,8 +227,8 @@
     def test_an_echo_of_an_earlier_process_confirms_nothing(self):
         # Peers echo the clock of this instance's earlier process, which may have
         # been far ahead on another machine.
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["b1", "c1"])
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         advance(10.0)
         self.daemon.peers.handle_heartbeat(
             Heartbeat("b1", "x", 1.0, 9e9, "earlier", 0.0, 1, "", 1, False, True, ())
@@ -248,11 +248,11 @@
         advance(1.0)
         self.assertTrue(result.value)
 
-    def test_cut_off_instance_waits_once_and_not_in_every_call(self):
-        # A zone's only instance is cut off from everybody. Waiting half a second in
-        # each stage would use up its callers' deadlines for nothing.
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["b1", "c1"])
+    def test_a_cut_off_instance_waits_once_and_not_in_each_call(self):
+        # A zone's only instance is cut off from all other instances. Waiting half a
+        # second in each stage would use up its callers' deadlines for nothing.
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         first = run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         self.assertFalse(first.done)
@@ -260,9 +260,9 @@
         second = run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         self.assertTrue(second.done)
 
-    def test_waits_again_after_a_pause(self):
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["b1", "c1"])
+    def test_an_instance_waits_again_after_a_pause(self):
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         run_green(lambda: self.daemon.views.wait_until_fresh(0.5))
         advance(0.6)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -80,12 +80,12 @@
         self.assertEqual(self.target.calls, [])
         self.assertEqual(result.value, b"{}")
 
-    def test_cut_off_instance_serves_its_own_zone_only(self):
-        # The zone is cut off from everything. Other zones may have been taken out
-        # meanwhile, so even reachable targets there get nothing from here: without
-        # reports they count as cold, and their homes can't be asked for permits.
-        self.world.config.down = True
-        self.world.network.partition(["a1"], ["b1", "c1"])
+    def test_a_cut_off_instance_serves_its_own_zone_only(self):
+        # The zone is cut off from all instances. Other zones may have been taken out
+        # meanwhile, so even reachable targets there get no work from this zone: without
+        # reports they count as cold, and their homes are unreachable for permits.
+        self.fleet.config.down = True
+        self.fleet.network.partition(["a1"], ["b1", "c1"])
         advance(8.0)
         result = call(self.daemon)
         advance(0.6)
@@ -168,24 +168,26 @@
         advance(0.5)
         self.assertEqual(self.target.calls, [])
 
-    def test_also_where_the_list_lags(self):
-        # One instance's view of the list lags behind the others'.
-        old = self.world.instance_list.payload
-        self.world.instance_list.payload_by_reader = {"a1": old}
-        self.world.publish_list(leaving=("stock-a",))
+    def test_no_new_work_where_the_list_lags(self):
+        # One instance's view of the list lags behind that of the other instances.
+        old = self.fleet.instance_list.payload
+        self.fleet.instance_list.payload_by_reader = {"a1": old}
+        self.fleet.publish_list(leaving=("stock-a",))
         advance(2.0)
         call(self.fleet.daemons["a1"])
         advance(0.5)
         self.assertEqual(self.target.calls, [])
 
-    def test_dropped_from_the_declaration(self):
-        self.world.targets.pop("stock-a")
+    def test_no_new_work_after_removal_from_the_declaration(self):
+        self.fleet.targets.pop("stock-a")
         address = next(
-            a for a, t in self.world.target_by_address.items() if t is self.target
+            a for a, t in self.fleet.target_by_address.items() if t is self.target
         )
-        kept = {a: t for a, t in self.world.target_by_address.items() if a != address}
-        self.world.target_by_address = kept
-        self.world.publish(2)
+        remaining = {
+            a: t for a, t in self.fleet.target_by_address.items() if a != address
+        }
+        self.fleet.target_by_address = remaining
+        self.fleet.publish(2)
         advance(1.5)
         for daemon in self.fleet.daemons.values():
             self.assertIsNone(call(daemon).error)
