--- a/tests/test_cause.py
+++ b/tests/test_cause.py
@@ -29,11 +29,7 @@
     @parameterized.expand(
         [
             ("unfinished", [STAGE_AGAIN], "not ended"),
-            (
-                "rejected",
-                [REJECTED, INFEASIBLE],
-                "1.00 s of them behind other requests",
-            ),
+            ("refused", [REJECTED, INFEASIBLE], "1.00 s of them behind other requests"),
             (
                 "again",
                 [SLOW_STAGE, STAGE_AGAIN, COMPLETE],
