--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -50,7 +50,7 @@
             fleet.send_request(random.randrange(size), FATAL, b"body")
             advance(1.0)
         self.assertLessEqual(len(late_tries(fleet)), MAX_LATE_TRIES)
-        self.assertLessEqual(fleet.targets.ended, 3)
+        self.assertLessEqual(fleet.targets.crash_count, 3)
 
     def test_many_callers_at_once_and_requests_beside_them(self):
         """Guards against other requests that are quarantined with a fatal one."""
@@ -66,7 +66,9 @@
             for number in range(8):
                 # Half of them are one popular request, the others are all different.
                 path = b"/popular" if number % 2 else b"/own/%d/%d" % (step, number)
-                other_callers.append(fleet.ask(random.randrange(7), path, b"body"))
+                other_callers.append(
+                    fleet.send_request(random.randrange(7), path, b"body")
+                )
             advance(0.2)
         advance(8.0)
         self.assertLessEqual(len(late_tries(fleet)), MAX_LATE_TRIES)
@@ -117,5 +119,5 @@
             for number in range(4):
                 fleet.send_request(number, FATAL, b"body")
                 advance(1.0)
-        self.assertEqual(fleet.targets.ended, 3)
+        self.assertEqual(fleet.targets.crash_count, 3)
         self.assertNotIn(True, were_quarantined)
--- a/tests/test_peer_discovery.py
+++ b/tests/test_peer_discovery.py
@@ -78,7 +78,7 @@
 
     def test_an_unresponsive_owner_is_not_asked_before_its_next_heartbeat(self):
         """Guards against requests that each wait for the same dead owner."""
-        self.fleet.cut_off("c")
+        self.fleet.partition_zone("c")
         unresponsive = set()
         while self.zone_of(self.owner()) != "c":
             unresponsive.add(self.owner())
