--- a/packages/serving/bergamotsaddle_serving/_stage_worker.py
+++ b/packages/serving/bergamotsaddle_serving/_stage_worker.py
@@ -43,7 +43,8 @@
         slowdown: Moving average of actual against expected call time.
         free_at: When the running call is expected to end, or the last one ended.
         wait_for_memory_until: Until when the next call may wait for memory.
-        exclusive_from: From when on no other instance is assumed to call the target.
+        exclusive_from: When this instance may again assume that no other one calls the
+            target.
         failures: Consecutive failures.
         backoff_until: Until when the target gets no calls after a failure.
         to_release: Handles of results that are to be released.
--- a/packages/serving/bergamotsaddle_serving/admission.py
+++ b/packages/serving/bergamotsaddle_serving/admission.py
@@ -10,7 +10,8 @@
 
 # The fraction of its objective that a request may be expected to use.
 _MAX_OBJECTIVE_FRACTION = 0.9
-# The fraction that it leaves to more urgent requests if all other requests are.
+# That fraction is lowered by this if all other recent requests are more urgent, and in
+# proportion if some are; the difference is left to them.
 _URGENT_RESERVE_FRACTION = 0.2
 # A request that takes longer than its objective even on idle targets, such as one with
 # a very long prompt, may still wait for this fraction of it: large requests must be
@@ -18,8 +19,9 @@
 _LARGE_REQUEST_WAIT_FRACTION = 0.25
 # Expected waits are multiplied by this, because targets fail and bursts continue.
 _WAIT_FACTOR = 1.3
-# Added to that factor if all other requests are more urgent: newcomers go ahead in the
-# meantime, but in a burst they are rejected like all other requests.
+# Added to that factor if all other recent requests are more urgent, and in proportion
+# if some are: more urgent requests that arrive in the meantime go ahead, but in a burst
+# they are rejected like all other requests.
 _OVERTAKING_FACTOR = 0.5
 # Callers are asked to retry after at least this time plus a random time of the same
 # length, so that the callers of a burst do not return as another burst.
@@ -53,14 +55,14 @@
     queues would grow until all requests are late, including those that arrive after
     the burst, and requests that end without a response would take work from others.
     A request that would wait until it is late is therefore rejected at once. A request
-    that has started is finished before newcomers of any urgency; less urgent requests
+    that has started is finished before later ones of any urgency; less urgent requests
     are therefore rejected a little earlier, since a sustained burst of them would
     otherwise keep urgent ones out.
 
     Args:
         forecast: Expected times of the request.
         more_urgent: Fraction of recent requests that are more urgent.
-        policy: Mechanisms that are in force.
+        policy: Enabled mechanisms.
     """
     if forecast.seconds > forecast.remaining:
         return False
--- a/packages/serving/bergamotsaddle_serving/budget.py
+++ b/packages/serving/bergamotsaddle_serving/budget.py
@@ -6,7 +6,7 @@
 from bergamotsaddle_serving.settings import BoundSettings
 
 # The fraction of a limit that is used. Instances count on their own, so a service sees
-# their windows overlap, and a failing instance leaves its calls to be repeated.
+# their windows overlap, and the calls of a failed instance are repeated at other ones.
 _USED_FRACTION = 0.6
 # An instance that knows fewer instances than this may have just started.
 _MIN_FLEET = 6
--- a/packages/serving/bergamotsaddle_serving/context.py
+++ b/packages/serving/bergamotsaddle_serving/context.py
@@ -33,7 +33,7 @@
         version: Version of the configuration that serves it.
         urgency: Rank among all kinds of requests, 0 first.
         progress: Progress of the request.
-        fingerprint: Identifies the work; the same for each repetition of a request.
+        fingerprint: Digest of its content, the same for each repetition of a request.
     """
 
     head: RequestHead
--- a/packages/serving/bergamotsaddle_serving/engine_choice.py
+++ b/packages/serving/bergamotsaddle_serving/engine_choice.py
@@ -123,7 +123,7 @@
         stage_seconds: Returns the expected seconds of the stages for an engine in a
             zone.
         tokens_per_s: Prompt tokens that an engine prefills per second.
-        policy: Mechanisms that are in force.
+        policy: Enabled mechanisms.
 
     Returns:
         The choice, None if there are no candidates.
--- a/packages/serving/bergamotsaddle_serving/handler.py
+++ b/packages/serving/bergamotsaddle_serving/handler.py
@@ -46,7 +46,7 @@
         ErrorKind.TOO_SLOW,
     )
 )
-# Largest part of the remaining time that callers are asked to wait before a retry.
+# Maximum fraction of the remaining time that callers are asked to wait before a retry.
 _MAX_RETRY_AFTER_FRACTION = 1 / 3
 _COMPLETE = "whole"
 _CALLER_LEFT = "caller_left"
@@ -116,7 +116,7 @@
         self._workers: set[greenlet] = set()
 
     def abort_all(self) -> None:
-        """Abort all running requests, each with a response that is true.
+        """Abort all running requests; the responses say whether they may have run.
 
         The process is about to be killed. A caller whose connection is merely closed
         does not know whether its request has run, and can't go on if it must not
--- a/packages/serving/bergamotsaddle_serving/peer_messages.py
+++ b/packages/serving/bergamotsaddle_serving/peer_messages.py
@@ -36,8 +36,8 @@
             not before its view is complete, nor while it stops.
         revision: Store revision up to which its view is complete.
         loads: Load of each stage queue that it owns, by service: seconds until the
-            waiting pieces are done for each urgency from 0 on, seconds per call, and
-            pieces per second.
+            waiting pieces are done for each place of ``stage_load.place``, seconds per
+            call, and pieces per second.
         pending: Pieces of its admitted requests that will reach a stage later, as
             service, scope and count by urgency.
         running: Number of its requests that run at each engine, by target id.
@@ -139,9 +139,8 @@
         zone: Zone in which the result is needed.
         objective: Seconds within which the result keeps the request on time.
         remaining: Seconds after which the result is useless.
-        round: How many times the sender has restarted the stage. Pieces of different
-            rounds are distinct, because the inputs of an earlier round are lost or
-            released.
+        round: Round of the submission, see ``StageRun``. Pieces of different rounds
+            are distinct, because the inputs of an earlier round are lost or released.
         fingerprint: Fingerprint of the request.
     """
 
--- a/packages/serving/bergamotsaddle_serving/peers.py
+++ b/packages/serving/bergamotsaddle_serving/peers.py
@@ -111,7 +111,8 @@
         own_loads: Returns the loads for this instance's heartbeats. The other
             attributes ``own_*`` return further fields of ``Heartbeat``.
         on_heartbeat: Called with each heartbeat of a peer.
-        is_zone_unreachable: Returns whether a zone is unreachable.
+        is_zone_unreachable: Returns whether a zone is cut off from this instance. Its
+            instances then own no queues.
         received: Number of datagrams received so far.
         sent: Number of datagrams sent so far.
     """
--- a/packages/serving/bergamotsaddle_serving/policy.py
+++ b/packages/serving/bergamotsaddle_serving/policy.py
@@ -53,7 +53,7 @@
 
 
 class Policy(NamedTuple):
-    """The mechanisms that are in force.
+    """The enabled mechanisms.
 
     Attributes:
         off: Mechanisms that are switched off.
@@ -62,7 +62,7 @@
     off: frozenset[Mechanism] = frozenset()
 
     def has(self, mechanism: Mechanism) -> bool:
-        """Return whether a mechanism is in force."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.off
 
 
--- a/packages/serving/bergamotsaddle_serving/probe.py
+++ b/packages/serving/bergamotsaddle_serving/probe.py
@@ -27,7 +27,7 @@
 def _serve(sock: socket.socket, page: Page) -> None:
     sock.settimeout(_IDLE_S)
     try:
-        while _answer(sock, page):
+        while _respond(sock, page):
             continue
     except (OSError, h11.ProtocolError):
         # The client disconnected or violated HTTP; it sends its request again.
@@ -36,7 +36,7 @@
         sock.close()
 
 
-def _answer(sock: socket.socket, page: Page) -> bool:
+def _respond(sock: socket.socket, page: Page) -> bool:
     connection = h11.Connection(h11.SERVER)
     event = connection.next_event()
     while not isinstance(event, h11.EndOfMessage):
--- a/packages/serving/bergamotsaddle_serving/scopes.py
+++ b/packages/serving/bergamotsaddle_serving/scopes.py
@@ -19,7 +19,7 @@
     Args:
         view: The targets.
         peers: Maps zones to regions.
-        policy: Mechanisms that are in force; they decide whether targets share queues.
+        policy: Enabled mechanisms; they decide whether targets share queues.
     """
 
     def __init__(self, view: View, peers: Peers, policy: Policy = FULL_POLICY) -> None:
--- a/packages/serving/bergamotsaddle_serving/selector.py
+++ b/packages/serving/bergamotsaddle_serving/selector.py
@@ -39,9 +39,9 @@
     Args:
         view: Current targets.
         health: States of the targets as this instance observes them.
-        peers: Knows the load of other instances at the targets.
+        peers: Reports the load of other instances at the targets.
         cold: Limits the rate of requests to cold targets.
-        reach: Knows the zones that are cut off.
+        reach: Zones that are cut off from this instance.
         rates: Permits for targets that name a limit.
     """
 
@@ -78,7 +78,7 @@
         return _without_backoff(found)
 
     def find(self, service: str, target_id: str) -> Candidate | None:
-        """Return the candidate with an id, whether or not it has another permit."""
+        """Return the candidate with an id, even if no permit for it is available."""
         for candidate in _without_backoff(self._reachable(service, set())):
             if candidate.target.id == target_id:
                 return candidate
@@ -160,12 +160,14 @@
     def _expected(self, candidate: Candidate) -> float:
         """Return the expected seconds until a target responds."""
         state = candidate.state
-        taken = state.in_flight + candidate.others + state.waiting()
+        requests = state.in_flight + candidate.others + state.waiting()
         slots = max(1, candidate.target.slots)
-        queueing = max(0.0, taken + 1 - slots) / slots
-        crowding = taken / slots
-        trip = 0.0 if candidate.target.zone == self._peers.own.zone else _CROSS_ZONE_S
-        return state.latency * (1.0 + queueing + 0.3 * crowding) + trip
+        queueing = max(0.0, requests + 1 - slots) / slots
+        utilization = requests / slots
+        round_trip = (
+            0.0 if candidate.target.zone == self._peers.own.zone else _CROSS_ZONE_S
+        )
+        return state.latency * (1.0 + queueing + 0.3 * utilization) + round_trip
 
 
 def _without_backoff(found: list[Candidate]) -> list[Candidate]:
--- a/packages/serving/bergamotsaddle_serving/shared_rate.py
+++ b/packages/serving/bergamotsaddle_serving/shared_rate.py
@@ -14,10 +14,10 @@
 # more.
 _MIN_BURST = 2.0
 _BURST_S = 0.5
-# While more urgent requests were denied within this time, less urgent ones get one
-# permit in every _TURNS.
-_RIVAL_S = 2.0
-_TURNS = 4
+# If more urgent requests were denied within this time, less urgent ones get only one
+# permit in every _PERMITS_PER_TURN.
+_RECENT_DENIAL_S = 2.0
+_PERMITS_PER_TURN = 4
 _IDLE_S = 60.0
 
 
@@ -39,9 +39,9 @@
         self.permits = min(depth, self.permits + gained)
         self.filled_at = current_time
 
-    def has_rivals(self, urgency: int) -> bool:
+    def has_denied_more_urgent(self, urgency: int) -> bool:
         """Return whether more urgent requests were recently denied."""
-        since = now() - _RIVAL_S
+        since = now() - _RECENT_DENIAL_S
         denied = self.denied_at_by_urgency.items()
         return any(other < urgency and at > since for other, at in denied)
 
@@ -84,7 +84,9 @@
         if bucket is None:
             bucket = self._bucket_by_key[key] = _Bucket()
         bucket.fill(rate)
-        must_yield = bucket.granted % _TURNS and bucket.has_rivals(urgency)
+        must_yield = bucket.granted % _PERMITS_PER_TURN and (
+            bucket.has_denied_more_urgent(urgency)
+        )
         if bucket.permits >= 1.0 and not must_yield:
             bucket.permits -= 1.0
             bucket.granted += 1
--- a/packages/serving/bergamotsaddle_serving/stage_calls.py
+++ b/packages/serving/bergamotsaddle_serving/stage_calls.py
@@ -14,7 +14,7 @@
 _OK = 200
 _MISDIRECTED = 421
 _MAX_BODY_BYTES = 1_000_000
-# Calls that need no slot at the target are answered within a few ms.
+# Calls that need no slot at the target get a response within a few ms.
 _RELEASE_TIMEOUT_S = 0.5
 _QUERY_TIMEOUT_S = 0.3
 
--- a/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -40,7 +40,7 @@
 # the way of the results to the sender and from there to an engine, and the message that
 # they were fetched.
 _MEMORY_WAIT_S = 0.09
-# Size of a result's handle in a call.
+# Approximate size of a result's handle in a call, in bytes.
 _HANDLE_BYTES = 40
 
 
@@ -130,7 +130,7 @@
         """Return the pieces that may share a call.
 
         Pieces of quarantined requests fail, and suspects that must not share a call
-        with the rest go back to the queue.
+        with other requests go back to the queue.
         """
         suspects = self._crashes.suspects
         fatal = [piece for piece in batch if suspects.is_quarantined(piece.fingerprint)]
@@ -227,10 +227,10 @@
             )
             return False
         worker.failures = 0
-        believed = worker.memory.free_bytes(now())
+        estimated = worker.memory.free_bytes(now())
         worker.memory.reconcile(free, now())
         self._logger.info(
-            "room", target=worker.target.id, free=int(free), believed=int(believed)
+            "room", target=worker.target.id, free=int(free), believed=int(estimated)
         )
         return True
 
--- a/packages/serving/bergamotsaddle_serving/stage_owner.py
+++ b/packages/serving/bergamotsaddle_serving/stage_owner.py
@@ -228,8 +228,8 @@
         """Send queued pieces back if another instance owns their queue now.
 
         Otherwise, after an owner has returned, two instances would keep calling the
-        same targets, each with half-filled calls and half of the knowledge of the
-        targets' memory.
+        same targets, each with half-filled calls and unaware of the memory that the
+        results of the other one's calls take.
 
         Args:
             is_final: Whether this instance is stopping. Pieces then move at once,
--- a/packages/serving/bergamotsaddle_serving/stage_plan.py
+++ b/packages/serving/bergamotsaddle_serving/stage_plan.py
@@ -27,7 +27,7 @@
         urgency: Urgency of the request, 0 first.
         started_at: When the request arrived.
         finish_seconds: Expected seconds from the last stage to the first event.
-        policy: Mechanisms that are in force.
+        policy: Enabled mechanisms.
 
     Attributes:
         zone: Zone in which the stages should run.
--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -44,9 +44,9 @@
 
     Attributes:
         request: Id of the request.
-        stage: Number of the stage.
+        stage: Index of the stage.
         number: Number of the piece within the stage.
-        round: How often the sender has restarted the stage.
+        round: Round in which it was submitted, see ``StageRun``.
     """
 
     request: str
@@ -110,7 +110,7 @@
     seconds. Pieces of a stage that already has results come first, because those
     results hold memory until the last piece is done. Next come requests whose earlier
     stages have run, the oldest first: their results hold memory too and expire after
-    some seconds, so a request that every more urgent newcomer overtakes would end as
+    some seconds, so a request that every later, more urgent one overtakes would end as
     wasted work. Among requests that have not started, urgent ones come first, and
     within an urgency those that can still be on time; otherwise one late request
     would make the next one late in turn.
@@ -183,7 +183,7 @@
 
     Args:
         batching: How the targets of the service work.
-        policy: Mechanisms that choose the pieces.
+        policy: Enabled mechanisms.
 
     Attributes:
         batching: How the targets of the service work.
@@ -216,14 +216,14 @@
 
         These are the pieces that cannot be done before they expire. A queue of more
         than two calls also drops requests that are late and have not started:
-        newcomers that can be on time go ahead of them, so they would wait until their
+        later ones that can be on time go ahead of them, so they would wait until their
         callers time out. Rejected now, the callers still have time to retry.
 
         Args:
             now: Current time on the hub's clock.
             slowdown: Actual time of calls relative to the declared one.
         """
-        least = self.batching.seconds(1) * slowdown
+        min_seconds = self.batching.seconds(1) * slowdown
         is_long = (
             self._policy.has(Mechanism.LATE_LEAVE)
             and len(self.piece_by_key) > _LONG_QUEUE_CALLS * self.batching.size
@@ -231,7 +231,7 @@
         expired = [
             piece
             for piece in self.piece_by_key.values()
-            if piece.expires_at < now + least
+            if piece.expires_at < now + min_seconds
             or (is_long and self._is_too_late(piece, now))
         ]
         for piece in expired:
--- a/packages/serving/bergamotsaddle_serving/stage_run.py
+++ b/packages/serving/bergamotsaddle_serving/stage_run.py
@@ -25,10 +25,10 @@
 from bergamotsaddle_serving.stage_load import PendingWork
 from bergamotsaddle_serving.stage_plan import StagePlan
 
-# An owner acknowledges a submission within a few ms. One that has not is sent the
-# submission again after this time, and after two more of these without an answer the
-# next owner is used instead.
+# An owner acknowledges a submission within a few ms. A submission that was not
+# acknowledged within this time is sent again.
 _ACK_LIMIT_S = 0.08
+# After this many repetitions without an acknowledgement the next owner is used instead.
 _MAX_UNACKNOWLEDGED = 2
 # An acknowledged submission is repeated at this interval while its pieces are
 # outstanding: results lost on the way are sent again, and a dead owner is noticed.
@@ -47,7 +47,7 @@
     Attributes:
         handles: Handles of the results that the request itself needs.
         seconds: Total duration of the stages.
-        stages: Number, scope, expected and actual seconds of each stage, for logs.
+        stages: Index, scope, expected and actual seconds of each stage, for logs.
     """
 
     handles: tuple[str, ...]
@@ -73,7 +73,7 @@
     """Pieces of a stage that were submitted to one owner.
 
     Args:
-        stage: Number of the stage.
+        stage: Index of the stage.
         owner: Instance that owns the queue.
         scope: Zone or region of the queue.
         missing: Numbers of the pieces whose outcome is not known yet.
@@ -110,7 +110,7 @@
         logger: Logs failures.
         urgency: Urgency of the request, 0 first.
         deadline_at: Time on the hub's clock after which the results are useless.
-        choose_queues: Called with a stage service, the number of a stage and the
+        choose_queues: Called with a stage service, the index of a stage and the
             number of its pieces; returns scopes, each with a number of pieces.
         pending: Counts the pieces of stages that have not been submitted yet.
         ttl_seconds: Returns how long the targets of a service keep results.
--- a/packages/serving/bergamotsaddle_serving/stage_waits.py
+++ b/packages/serving/bergamotsaddle_serving/stage_waits.py
@@ -38,7 +38,7 @@
         view: Targets and services.
         peers: The other instances, which own queues.
         owner: The queues that this instance owns.
-        policy: Mechanisms that are in force.
+        policy: Enabled mechanisms.
 
     Attributes:
         pending: Pieces of this instance's requests that will reach a stage later.
--- a/packages/serving/bergamotsaddle_serving/store_readers.py
+++ b/packages/serving/bergamotsaddle_serving/store_readers.py
@@ -24,7 +24,7 @@
     Args:
         ranked: Instances that may read for the zone, the reader first.
         own_id: Id of this instance.
-        avoided: Instances whose response was missing or too old a moment ago.
+        avoided: Instances whose response was recently missing or too old.
 
     Returns:
         The reader, None if this instance reads the store itself.
--- a/packages/serving/bergamotsaddle_serving/suspects.py
+++ b/packages/serving/bergamotsaddle_serving/suspects.py
@@ -40,10 +40,10 @@
     """Requests under which targets have crashed.
 
     This handles a request that crashes every target that runs it and is repeated at any
-    instance: each try looks like an ordinary request that met a crash. A target takes
-    with it everything that it runs, so one crash proves nothing. The crashes that count
-    are those of different incarnations of targets under the same request fingerprint,
-    at all instances together.
+    instance. Each attempt looks like an ordinary request that was lost in a crash. A
+    crash loses all requests that the target runs, so one crash proves nothing. The
+    crashes that count are those of different incarnations of targets under the same
+    request fingerprint, at all instances together.
 
     Crash attribution: a crash is attributed to the request that was present at most
     crashes, since the requests beside it were present at fewer. A request that succeeds
@@ -61,7 +61,7 @@
         software_versions: Returns the service and software version of all targets.
         logger: Gets a line when a target crashes under a request and when a request
             is cleared.
-        policy: Mechanisms that are in force.
+        policy: Enabled mechanisms.
     """
 
     def __init__(
@@ -91,12 +91,12 @@
         """
         incarnation = _incarnation(target)
         uncleared = [
-            w for w in fingerprints if (w, incarnation.software) not in self._cleared
+            f for f in fingerprints if (f, incarnation.software) not in self._cleared
         ]
         self._publish(
             [
-                self._gossip.record(_CRASHES, _key(w, incarnation), _CRASHED)
-                for w in uncleared
+                self._gossip.record(_CRASHES, _key(f, incarnation), _CRASHED)
+                for f in uncleared
             ]
         )
         for fingerprint in uncleared:
@@ -166,14 +166,14 @@
             incarnation
             for incarnation in incarnations
             if (fingerprint, incarnation.software) not in self._cleared
-            and len(incarnations) >= self._max_crashes(incarnation)
+            and len(incarnations) >= self._highest_crash_count(incarnation)
         ]
 
-    def _max_crashes(self, incarnation: _Incarnation) -> int:
+    def _highest_crash_count(self, incarnation: _Incarnation) -> int:
         """Return the most crashes of any request that an incarnation ran."""
         return max(
-            len(self._incarnations_by_fingerprint[w])
-            for w in self._fingerprints_by_incarnation[incarnation]
+            len(self._incarnations_by_fingerprint[f])
+            for f in self._fingerprints_by_incarnation[incarnation]
         )
 
     def _retention_priority(self, key: str) -> float:
--- a/packages/serving/bergamotsaddle_serving/target_crashes.py
+++ b/packages/serving/bergamotsaddle_serving/target_crashes.py
@@ -22,7 +22,7 @@
 
     Args:
         pool: Connections to targets.
-        view: Knows the current incarnations.
+        view: Listed targets and their incarnations.
         suspects: Gets the reports.
 
     Attributes:
--- a/packages/serving/bergamotsaddle_serving/urgency_distribution.py
+++ b/packages/serving/bergamotsaddle_serving/urgency_distribution.py
@@ -29,9 +29,9 @@
     def more_urgent_fraction(self, urgency: int) -> float:
         """Return the fraction of requests that are more urgent, from 0 to 1.
 
-        The rank among all urgencies says less: where the ranks of teams differ, those
-        of their routes are far apart although the first team may send hardly any
-        requests.
+        An urgency's rank alone says less: if teams have different priorities, all
+        routes of the first team rank ahead of the others, although that team may send
+        hardly any requests.
         """
         total = sum(self._count_by_urgency.values())
         if total <= 0:
--- a/packages/serving/bergamotsaddle_serving/wait_errors.py
+++ b/packages/serving/bergamotsaddle_serving/wait_errors.py
@@ -25,8 +25,8 @@
 
     Attributes:
         request: Id of the request.
-        stage: Number of the stage.
-        round: How often the sender has restarted the stage.
+        stage: Index of the stage.
+        round: Round in which it was submitted, see ``StageRun``.
     """
 
     request: str
--- a/packages/serving/bergamotsaddle_serving/zone_reach.py
+++ b/packages/serving/bergamotsaddle_serving/zone_reach.py
@@ -59,7 +59,7 @@
 
     Args:
         view: The targets.
-        peers: Knows when instances of a zone were last seen.
+        peers: Reports when instances of a zone were last seen.
         pool: Connections to targets.
         dialect: Builds the probe.
         logger: Gets a line when a zone is lost or regained.
