--- a/packages/serving/bergamotsaddle_serving/fetching.py
+++ b/packages/serving/bergamotsaddle_serving/fetching.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-# Two trips between zones and the target's own work, several times over. A target
+# Several times what two trips between zones and the target's own work take. A target
 # fetches its inputs as soon as it starts, but reports that only once it has finished.
 # Results that are released only then hold scarce memory for the duration of the call,
 # and other requests wait for that memory.
--- a/packages/serving/bergamotsaddle_serving/gossip.py
+++ b/packages/serving/bergamotsaddle_serving/gossip.py
@@ -173,8 +173,8 @@
 def _is_newer(known: _StoredFact | None, value: float, observed_at: float) -> bool:
     """Return whether an observation replaces the stored one.
 
-    A repeated value is accepted only if it is clearly newer. Each hop makes a fact look
-    younger by its transit time, which would otherwise keep it alive forever.
+    It does only if it is clearly newer. Each hop makes a fact look younger by its
+    transit time, so a repeated fact would otherwise stay alive forever.
     """
     if known is None:
         return True
--- a/packages/serving/bergamotsaddle_serving/peer_messages.py
+++ b/packages/serving/bergamotsaddle_serving/peer_messages.py
@@ -44,8 +44,8 @@
         prefill_tokens: Prompt tokens of its requests that each engine has still to
             process, by target id.
         cores: Processor cores that it can spend on work for other instances.
-        contacts: Other instances that it received a heartbeat from lately.
-        unresponsive: Ids of instances that did not respond to it lately.
+        contacts: Other instances that it received a heartbeat from recently.
+        unresponsive: Ids of instances that did not respond to it recently.
         digest: Digest of the gossip facts that it holds.
     """
 
--- a/packages/serving/bergamotsaddle_serving/peers.py
+++ b/packages/serving/bergamotsaddle_serving/peers.py
@@ -192,7 +192,7 @@
         self._roster = None
 
     def alive(self) -> list[Peer]:
-        """Return the peers whose heartbeats arrived lately."""
+        """Return the peers whose heartbeats arrived recently."""
         since = self._alive_since()
         return [p for p in self.by_id.values() if p.last_seen_at > since]
 
@@ -383,7 +383,7 @@
         return peer.last_seen_at if peer is not None else float("-inf")
 
     def _unresponsive_ids(self) -> list[str]:
-        """Return ids of peers that lately did not respond and sent nothing since."""
+        """Return ids of peers that recently did not respond and sent nothing since."""
         since = now() - _REPORT_UNRESPONSIVE_S
         unresponsive = [
             peer.contact.id
--- a/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
+++ b/packages/serving/bergamotsaddle_serving/stage_dispatcher.py
@@ -31,7 +31,8 @@
 # New pieces wake a worker. With an empty queue it wakes by itself only to check whether
 # its target still belongs to the queue.
 _EMPTY_CHECK_S = 5.0
-# Failed calls after which a piece is not queued again.
+# A piece that has failed this often is not queued again after one more unsuccessful
+# call.
 _MAX_TRIES = 2
 # Pause per queued piece before a worker that found nothing to send scans the queue
 # again: some twenty times as long as it takes to look at one piece.
--- a/packages/serving/bergamotsaddle_serving/stage_waits.py
+++ b/packages/serving/bergamotsaddle_serving/stage_waits.py
@@ -58,7 +58,7 @@
         self.pending = PendingWork()
         self._load_by_queue: dict[tuple[str, str, int], StageLoad | None] = {}
         self._loads_at = float("-inf")
-        self._known_changes = 0
+        self._cached_changes = 0
 
     def best_scope(self, service: str, zone: str, place: int) -> ScopeLoad:
         """Return the load at the queue of a zone, or at another one that is faster."""
@@ -162,10 +162,10 @@
         # arrive together would all be admitted by the load before the first of them.
         current_time = now()
         is_old = current_time - self._loads_at > _LOAD_CACHE_S
-        if is_old or self._known_changes != self.pending.changes:
+        if is_old or self._cached_changes != self.pending.changes:
             self._load_by_queue.clear()
             self._loads_at = current_time
-            self._known_changes = self.pending.changes
+            self._cached_changes = self.pending.changes
 
     def _query_load(self, service: str, scope: str, place: int) -> StageLoad | None:
         """Return the last reported load of a queue, None if no instance owns it."""
--- a/packages/serving/bergamotsaddle_serving/streams.py
+++ b/packages/serving/bergamotsaddle_serving/streams.py
@@ -51,8 +51,9 @@
 # this instance.
 _CACHED_PREFIX_TTL_S = 20.0
 _MAX_CACHED_PREFIXES = 20_000
-# An engine that sends nothing in the middle of a stream for this long, or for several
-# times the longest pause that is on time, counts as lost. Callers give up after 2 s.
+# An engine that sends nothing in the middle of a stream for the longer of this time and
+# several times the longest pause that is on time counts as lost. Callers give up after
+# 2 s.
 _MIN_EVENT_TIMEOUT_S = 1.0
 _EVENT_TIMEOUT_GAPS = 3.0
 # The same before the first event. It is longer because an engine sends nothing while it
@@ -61,8 +62,8 @@
 _MIN_FIRST_EVENT_TIMEOUT_S = 2.0
 _FIRST_EVENT_TIMEOUT_FACTOR = 6.0
 _MAX_REFUSALS = 3
-# How long a permit is used after it was granted. Requests with permits gathered over a
-# longer time would arrive together.
+# How long a permit may be used after it was granted. If permits could be collected for
+# longer, the requests that use them would arrive at the engine together.
 _PERMIT_LIFETIME_S = 1.5
 _CONFLICT = 409
 
@@ -229,7 +230,7 @@
         # Id of an engine, and until when its permit is used.
         self._permit = ("", 0.0)
         self._was_sent = False
-        self._runs = 0
+        self._possible_runs = 0
         self._refusals = 0
 
     def run(self) -> None:
@@ -370,7 +371,7 @@
         try:
             outcome = self._stages.run()
         except RequestError as error:
-            if self._runs:
+            if self._possible_runs:
                 # The error says that the request has not run, but an earlier attempt
                 # may have run it.
                 raise self._failure_error(error.detail) from error
@@ -416,7 +417,7 @@
                 target, [context.fingerprint], error.reason
             )
             self._exclude.add(target.id)
-            self._runs += 1
+            self._possible_runs += 1
             self._check_resumable()
             return False
         self._server.suspects.record_success(candidate.target, context.fingerprint)
@@ -426,7 +427,7 @@
         """Raise an error if the request has been quarantined in the meantime."""
         if not self._server.suspects.is_quarantined(self._context.fingerprint):
             return
-        if self._runs:
+        if self._possible_runs:
             raise self._failure_error("targets ended while they ran it")
         raise self._context.quarantine_error()
 
@@ -561,19 +562,19 @@
         context = self._context
         return (
             context.route.may_repeat
-            and self._runs + 1 < context.route.attempts
+            and self._possible_runs + 1 < context.route.attempts
             and context.remaining > 0
         )
 
     def _check_resumable(self) -> None:
         """Raise an error if the request must not be sent to another engine."""
         context = self._context
-        if context.route.may_repeat and self._runs < context.route.attempts:
+        if context.route.may_repeat and self._possible_runs < context.route.attempts:
             return
         raise self._failure_error("the engine broke off")
 
     def _failure_error(self, detail: str) -> RequestError:
-        if self._runs:
+        if self._possible_runs:
             return RequestError(ErrorKind.TARGET_FAILED, detail, ran=Ran.UNKNOWN)
         wait = self._server.selector.permit_wait(self._context.service.name)
         return self._context.rejection_error(
