--- a/packages/serving/bergamotsaddle_serving/follower.py
+++ b/packages/serving/bergamotsaddle_serving/follower.py
@@ -20,7 +20,8 @@
 # After this time a watch has either a response or an error.
 MAX_WATCH_S = WATCH_WAIT_S + _RESPONSE_TIMEOUT_S
 # The first watch after this instance followed a reader is short, because it has to
-# confirm the view soon. A watch is the first one if none ended within _WATCH_GAP_S.
+# confirm the view soon. A watch counts as the first one if none ended within
+# _WATCH_GAP_S before it.
 _FIRST_WATCH_WAIT_S = 0.05
 _WATCH_GAP_S = 2.0
 # The store may cut a waiting watch; the next call then succeeds within this time.
--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -295,7 +295,7 @@
         started = set(self.started_stages)
         for piece in pieces:
             stage = piece.key[:2]
-            kept_free = small_bytes if self._is_bulky(piece, small_bytes) else 0
+            kept_free = small_bytes if self._must_leave_memory(piece, small_bytes) else 0
             if piece.result_bytes + kept_free > free_bytes:
                 continue
             if (
@@ -366,7 +366,7 @@
         small = [size for size in sizes if size * _SMALL_FACTOR <= sizes[-1]]
         return sum(small[: self.batching.size])
 
-    def _is_bulky(self, piece: QueuedPiece, small_bytes: int) -> bool:
+    def _must_leave_memory(self, piece: QueuedPiece, small_bytes: int) -> bool:
         """Return whether a piece has to leave memory for small results.
 
         A result so large that a target holds only one or two of them never has to:
