--- a/packages/contracts/bergamotsaddle_contracts/messages.py
+++ b/packages/contracts/bergamotsaddle_contracts/messages.py
@@ -219,7 +219,7 @@
     payload: bytes
 
 
-RESPONSE_TYPES: dict[type, type] = {
+RESPONSE_BY_QUERY: dict[type, type] = {
     StartRecord: StartAnswer,
     OutcomeRecord: Done,
     OutcomeQuery: Outcome,
--- a/packages/daemon/bergamotsaddle_daemon/links.py
+++ b/packages/daemon/bergamotsaddle_daemon/links.py
@@ -10,7 +10,7 @@
 
 from bergamotsaddle_contracts.errors import PeerUnreachableError
 from bergamotsaddle_contracts.ini import Address
-from bergamotsaddle_contracts.messages import RESPONSE_TYPES, sign, verify_signed
+from bergamotsaddle_contracts.messages import RESPONSE_BY_QUERY, sign, verify_signed
 from bergamotsaddle_daemon.hub_bridge import HubBridge
 from bergamotsaddle_daemon.settings import Settings
 
@@ -37,7 +37,7 @@
         """Send a message and wait for the response.
 
         Args:
-            message: One of the queries of ``messages.RESPONSE_TYPES``.
+            message: One of the queries of ``messages.RESPONSE_BY_QUERY``.
             timeout: Seconds.
 
         Raises:
@@ -65,7 +65,7 @@
 
     def call(self, message: Any, timeout: float) -> Any:
         """Send a message and wait for the response."""
-        response_type = RESPONSE_TYPES[type(message)]
+        response_type = RESPONSE_BY_QUERY[type(message)]
         method = self._channel.unary_unary(f"/{_SERVICE}/{type(message).__name__}")
         done = Event()
         call = method.future(sign(message, self._key), timeout=timeout)
--- a/tests/_fakes.py
+++ b/tests/_fakes.py
@@ -17,7 +17,7 @@
 )
 from bergamotsaddle_contracts.ini import Address
 from bergamotsaddle_contracts.instances import Instance, InstanceList, encode_instances
-from bergamotsaddle_contracts.messages import RESPONSE_TYPES, decode, encode
+from bergamotsaddle_contracts.messages import RESPONSE_BY_QUERY, decode, encode
 from bergamotsaddle_daemon.calls import Call, Connections, Guard, Reply
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_daemon.daemon import Daemon, Interfaces
@@ -123,7 +123,7 @@
         answer = done.wait(timeout=timeout)
         if answer is None or type(message) in network.lose_answers:
             raise PeerUnreachableError("no answer in time")
-        return decode(encode(answer), RESPONSE_TYPES[type(message)])
+        return decode(encode(answer), RESPONSE_BY_QUERY[type(message)])
 
     def close(self) -> None:
         """Do nothing."""
