--- a/packages/cli/bergamotsaddle_cli/daemon_commands.py
+++ b/packages/cli/bergamotsaddle_cli/daemon_commands.py
@@ -39,7 +39,11 @@
     options = [AT, JSON]
 
     def handle(self) -> int:
-        """Query the daemons; return 2 without valid addresses, 3 if one is silent."""
+        """Query the daemons.
+
+        Returns:
+            The exit status: 2 without valid addresses, else that of ``query``.
+        """
         addresses = list(self.option("at"))
         if not addresses:
             items = os.environ.get(ADDRESSES_VARIABLE, "").split(",")
--- a/packages/contracts/bergamotsaddle_contracts/declaration.py
+++ b/packages/contracts/bergamotsaddle_contracts/declaration.py
@@ -88,7 +88,7 @@
         stages: Kinds of target that are called one after the other.
         deadline: Seconds that a request may take unless its caller sets less.
         model: Model of the generate stage, or an empty string.
-        priority: Number added to the team's priority in requests to engines.
+        priority: Averaged with the team's priority in requests to targets.
     """
 
     name: str
--- a/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
+++ b/packages/contracts/bergamotsaddle_contracts/declaration_reader.py
@@ -258,10 +258,10 @@
 
 
 def _check_keys(ini: IniFile, teams: dict[str, Team]) -> None:
-    owners: dict[str, str] = {}
+    team_by_digest: dict[str, str] = {}
     for team in teams.values():
         for digest in team.key_digests:
-            owner = owners.setdefault(digest, team.name)
-            if owner != team.name:
-                reason = f"also a key of team {owner}"
+            first_team = team_by_digest.setdefault(digest, team.name)
+            if first_team != team.name:
+                reason = f"also a key of team {first_team}"
                 ini.add_fault(f"team {team.name}", "key_digests", digest, reason)
--- a/packages/contracts/bergamotsaddle_contracts/errors.py
+++ b/packages/contracts/bergamotsaddle_contracts/errors.py
@@ -122,7 +122,7 @@
 
 
 class PlaceLostError(BergamotsaddleError):
-    """A place at a target that became invalid before the call was sent."""
+    """A slot at a target that became invalid before the call was sent."""
 
 
 class PeerUnreachableError(BergamotsaddleError):
--- a/packages/contracts/bergamotsaddle_contracts/messages.py
+++ b/packages/contracts/bergamotsaddle_contracts/messages.py
@@ -142,7 +142,7 @@
 
 
 class RunTicket(NamedTuple):
-    """Asks a ticket's issuer, or the instance that replaced it, to run its request."""
+    """Asks a ticket's issuer or witness to run its request or settle its outcome."""
 
     ticket: Ticket
     request: ServiceRequest
@@ -153,7 +153,7 @@
 
     Attributes:
         incarnation: Random name of the issuer's process.
-        used: Tickets that were refused or may have been started; the witness may
+        used: Tickets that were rejected or may have been started; the witness may
             run all others.
     """
 
--- a/packages/contracts/bergamotsaddle_contracts/ticket.py
+++ b/packages/contracts/bergamotsaddle_contracts/ticket.py
@@ -17,7 +17,10 @@
 
 
 class Ticket(NamedTuple):
-    """Contents of a ticket; only the issuing process may run its request.
+    """Contents of a ticket.
+
+    Only the issuing process may run the ticket's request, or the witness after the
+    issuer has handed over its unstarted tickets.
 
     Attributes:
         issuer: Id of the issuing instance.
--- a/packages/daemon/bergamotsaddle_daemon/daemon.py
+++ b/packages/daemon/bergamotsaddle_daemon/daemon.py
@@ -214,7 +214,10 @@
             eventlet.sleep(_RESTART_DELAY)
 
     def stop(self, close_listener: Callable[[], None]) -> None:
-        """Stop gracefully: reject nothing, finish all requests, hand over the rest.
+        """Stop gracefully, without rejecting requests.
+
+        Permits are handed over at once. Unstarted tickets are handed over when all
+        requests have ended, or after ``stop_limit``.
 
         The load balancer needs time to notice that the ready probe fails. Closing the
         listener earlier would cut off callers that it still sends here.
--- a/packages/daemon/bergamotsaddle_daemon/hub_bridge.py
+++ b/packages/daemon/bergamotsaddle_daemon/hub_bridge.py
@@ -21,8 +21,9 @@
     """Runs functions from native threads on the hub's thread.
 
     The hub's objects may only be used from its own thread; a green thread woken from
-    another one would run there and corrupt both. So native threads append to a queue
-    and write to a pipe, and a green thread reads the pipe.
+    another native thread would run on that thread and corrupt the state of both. So
+    native threads append to a queue and write to a pipe, and a green thread reads the
+    pipe.
     """
 
     def __init__(self) -> None:
--- a/packages/daemon/bergamotsaddle_daemon/peers.py
+++ b/packages/daemon/bergamotsaddle_daemon/peers.py
@@ -311,7 +311,7 @@
 
 
 def _ring_offsets(size: int, bound: int) -> list[int]:
-    """Return distances around a ring, growing by an even factor, and their opposites.
+    """Return distances around a ring in both directions, growing by a constant factor.
 
     As with the digits of a number, any position can be reached in few hops.
     """
--- a/packages/daemon/bergamotsaddle_daemon/pipelines.py
+++ b/packages/daemon/bergamotsaddle_daemon/pipelines.py
@@ -98,8 +98,10 @@
         """
         for index in range(len(self._pipeline.stages)):
             stage = self._make_stage(index)
-            need = self._stages.call_requirements(self.request, stage, frozenset())
-            pools.check_admission(need)
+            requirements = self._stages.call_requirements(
+                self.request, stage, frozenset()
+            )
+            pools.check_admission(requirements)
 
     def run(self) -> Iterator[bytes]:
         """Call the stages in order and yield the events of a generate stage.
--- a/packages/daemon/bergamotsaddle_daemon/placement.py
+++ b/packages/daemon/bergamotsaddle_daemon/placement.py
@@ -162,7 +162,7 @@
         if order is None or not self._issuer.may_order(target.id):
             return
         # All engines load weights from the same store. One load at a time for each home
-        # keeps a change that affects many engines from saturating it.
+        # keeps a change that affects many engines from saturating the store.
         if order.action == LOAD and self._is_loading():
             return
         self._send(target, order)
--- a/packages/daemon/bergamotsaddle_daemon/pools.py
+++ b/packages/daemon/bergamotsaddle_daemon/pools.py
@@ -97,8 +97,8 @@
         """Return whether the target may still be working on the call.
 
         Closing the connection doesn't stop every target. The permit of an abandoned
-        call is therefore not returned: the home counts it until it has expired and a
-        report proves that the call has ended.
+        call is therefore not returned: the target's home counts it until it has expired
+        and a report proves that the call has ended.
         """
         return self._is_sent
 
@@ -239,7 +239,11 @@
             self._dispatch(pool)
 
     def dispatch_forever(self) -> None:
-        """Serve waiting calls when capacity appears without a call ending."""
+        """Assign slots to waiting calls at regular intervals, forever.
+
+        Capacity can appear without the end of a call, for example when a target turns
+        warm, its backoff ends or the limits of a returning zone grow.
+        """
         while True:
             if not self.count_waiting():
                 self._has_waiting.wait()
--- a/packages/daemon/bergamotsaddle_daemon/reports.py
+++ b/packages/daemon/bergamotsaddle_daemon/reports.py
@@ -52,12 +52,12 @@
 
 
 class ReportPoll:
-    """Keeps the reports of home targets fresh; heartbeats carry them to peers.
+    """Keeps the reports of targets whose home is this instance; heartbeats carry them.
 
     Args:
         settings: The daemon's settings.
         homes: The targets whose home is this instance.
-        home: Checks after each poll which targets are warm.
+        home: Updates its grants of permits after each round of polls.
         targets: Receive the reports.
         read_load: Reads the load of one target.
     """
@@ -77,7 +77,7 @@
         self._read_load = read_load
 
     def heartbeat_reports(self) -> tuple[TargetReport, ...]:
-        """Return the reports of home targets for the next heartbeat.
+        """Return the reports of targets whose home is this instance, for a heartbeat.
 
         If there are many, each heartbeat carries only some of them. A datagram that
         the network has to fragment is lost as soon as one fragment is, and the
@@ -92,7 +92,7 @@
         return tuple((reports + reports)[start : start + _MAX_REPORTS_PER_HEARTBEAT])
 
     def run(self) -> None:
-        """Poll all home targets concurrently, forever."""
+        """Poll all targets whose home is this instance concurrently, forever."""
         while True:
             for target_id in list(self._homes.home_since):
                 target = self._targets.by_id.get(target_id)
--- a/packages/daemon/bergamotsaddle_daemon/retries.py
+++ b/packages/daemon/bergamotsaddle_daemon/retries.py
@@ -16,12 +16,14 @@
 
     def __init__(self, percent: int) -> None:
         self._refill = percent / 100
-        self._remaining_by_user: dict[tuple[str, str], float] = {}
+        self._remaining_by_team_and_kind: dict[tuple[str, str], float] = {}
 
     def count_call(self, team: str, kind: str) -> None:
         """Count a first call, which refills the budget."""
-        remaining = self._remaining_by_user.get((team, kind), _BURST)
-        self._remaining_by_user[team, kind] = min(_BURST, remaining + self._refill)
+        remaining = self._remaining_by_team_and_kind.get((team, kind), _BURST)
+        self._remaining_by_team_and_kind[team, kind] = min(
+            _BURST, remaining + self._refill
+        )
 
     def try_spend(self, team: str, kind: str) -> bool:
         """Spend one extra call if the budget allows it.
@@ -29,8 +31,8 @@
         Returns:
             Whether the call is allowed.
         """
-        remaining = self._remaining_by_user.get((team, kind), _BURST)
+        remaining = self._remaining_by_team_and_kind.get((team, kind), _BURST)
         if remaining < 1.0:
             return False
-        self._remaining_by_user[team, kind] = remaining - 1.0
+        self._remaining_by_team_and_kind[team, kind] = remaining - 1.0
         return True
--- a/packages/daemon/bergamotsaddle_daemon/settings.py
+++ b/packages/daemon/bergamotsaddle_daemon/settings.py
@@ -115,7 +115,7 @@
         queue: Requests waiting for one kind of target.
         tickets: Tickets whose starts and outcomes are kept.
         decisions: Requests whose decisions ``explain`` can show.
-        neighbours: Peers that receive heartbeats; a fleet of no more is a full mesh.
+        neighbours: Peers that receive heartbeats; in a smaller fleet all of them do.
         followed_homes: In a larger fleet, homes whose targets are used.
         followers: Instances other than neighbours that receive this one's reports.
         retry_percent: Retries per hundred calls of a team to a kind of target.
--- a/packages/daemon/bergamotsaddle_daemon/streams.py
+++ b/packages/daemon/bergamotsaddle_daemon/streams.py
@@ -172,21 +172,21 @@
                 are then only the start of the response.
         """
         self._stages.count_first_call(stream.request, stage)
-        attempt_kind = FIRST
+        attempt_type = FIRST
         failed: frozenset[str] = frozenset()
         while not stream.is_done:
             slot = self._stages.acquire(stream.request, stage, failed)
             try:
-                yield from self._relay_attempt(stream, stage, slot, attempt_kind)
+                yield from self._relay_attempt(stream, stage, slot, attempt_type)
             except (TargetError, PlaceLostError) as error:
                 self._check_resumable(stream, slot, error)
                 failed |= {slot.target.id}
-                attempt_kind = self._stages.decide_retry(stream.request, stage, error)
-                if attempt_kind == RETRY and stream.tokens:
-                    attempt_kind = RESUME
+                attempt_type = self._stages.decide_retry(stream.request, stage, error)
+                if attempt_type == RETRY and stream.tokens:
+                    attempt_type = RESUME
 
     def _relay_attempt(
-        self, stream: TokenStream, stage: Stage, slot: Slot, attempt_kind: str
+        self, stream: TokenStream, stage: Stage, slot: Slot, attempt_type: str
     ) -> Iterator[bytes]:
         request = stream.request
         key = self._stages.cost_key(request, stage)
@@ -195,7 +195,7 @@
         def guard() -> None:
             slot.check_before_send()
             request.mark_sent()
-            self._costs.count_call(key, attempt_kind)
+            self._costs.count_call(key, attempt_type)
 
         engine: ResponseStream | None = None
         try:
--- a/packages/daemon/bergamotsaddle_daemon/targets.py
+++ b/packages/daemon/bergamotsaddle_daemon/targets.py
@@ -63,7 +63,7 @@
         self._suspected_cold_at = float("-inf")
 
     def update_declaration(self, declared: DeclaredTarget, instances: int) -> None:
-        """Apply a changed declaration and keep the measured state."""
+        """Apply a changed declaration and keep all measured state except the limit."""
         self.declared = declared
         self.limit = self._make_limit(instances)
 
@@ -123,7 +123,7 @@
         return self._suspected_cold_at >= self._measured_at
 
     def serves(self, model: str) -> bool:
-        """Return whether the target has a model loaded; an empty name always counts."""
+        """Return whether the target has a model loaded; true for an empty name."""
         if not model:
             return True
         report = self._fresh_report()
--- a/packages/daemon/bergamotsaddle_daemon/witness.py
+++ b/packages/daemon/bergamotsaddle_daemon/witness.py
@@ -115,9 +115,10 @@
     def _is_retained(self, ticket: Ticket) -> bool:
         """Return whether a start of this ticket would still be on record.
 
-        Records are kept for a fixed time. No record of this ticket can be older than
-        the mark in the ticket, which was taken from this process's clock. Until the
-        mark plus that time, a missing record therefore means that it was not started.
+        Records are kept for ``ticket_memory`` seconds. No record of this ticket can be
+        older than its ``witness_clock``, which was read from this process's clock.
+        Until ``witness_clock`` plus those seconds, a missing record therefore means
+        that the request was not started.
         """
         if ticket.witness_incarnation != self._incarnation:
             return False
