--- a/packages/serving/bergamotsaddle_serving/stage_queue.py
+++ b/packages/serving/bergamotsaddle_serving/stage_queue.py
@@ -295,7 +295,9 @@
         started = set(self.started_stages)
         for piece in pieces:
             stage = piece.key[:2]
-            kept_free = small_bytes if self._must_leave_memory(piece, small_bytes) else 0
+            kept_free = (
+                small_bytes if self._must_leave_memory(piece, small_bytes) else 0
+            )
             if piece.result_bytes + kept_free > free_bytes:
                 continue
             if (
