--- a/model/__init__.py
+++ b/model/__init__.py
@@ -1,1 +1,1 @@
-"""A small specification of the core protocol, searched by a model checker."""
+"""Specifications of the core protocols, checked by a model checker."""
--- a/model/__main__.py
+++ b/model/__main__.py
@@ -1,4 +1,4 @@
-"""Searches every specification and every mistake: ``python -m model``."""
+"""Checks every specification and every known mistake: ``python -m model``."""
 
 import sys
 
@@ -19,22 +19,22 @@
 
 
 def main() -> int:
-    """Print a table; returns 1 if a verdict is not the expected one."""
+    """Print a table of the verdicts; return 1 if one is not as expected."""
     results = [_check(specification) for specification in SPECIFICATIONS]
     return 0 if all(results) else 1
 
 
 def _check(specification: Specification) -> bool:
-    found = check_safety(specification.protocol(), max_states=MAX_STATES)
-    states = found["reachable_states"]
-    _say(f"{specification.name}: {specification.bounds}; {states} states")
+    report = check_safety(specification.protocol(), max_states=MAX_STATES)
+    states = report["reachable_states"]
+    _print_line(f"{specification.name}: {specification.bounds}; {states} states")
     passed = True
     for name in specification.invariants:
-        holds = found["properties"][name]["holds"]
+        holds = report["properties"][name]["holds"]
         passed = passed and holds is True
-        _say(f"  {'holds' if holds else 'DOES NOT HOLD'}: {name}")
+        _print_line(f"  {'holds' if holds else 'DOES NOT HOLD'}: {name}")
         if holds is False:
-            _show_trace(found["properties"][name]["counterexample"])
+            _show_trace(report["properties"][name]["counterexample"])
     for mistake, invariant in specification.mistakes.items():
         passed = _check_mistake(specification, mistake, invariant) and passed
     return passed
@@ -42,18 +42,18 @@
 
 def _check_mistake(specification: Specification, mistake: str, invariant: str) -> bool:
     protocol = _stop_at_first(specification.protocol(mistake), invariant)
-    found = check_safety(protocol, max_states=MAX_STATES)
-    result = found["properties"][invariant]
+    report = check_safety(protocol, max_states=MAX_STATES)
+    result = report["properties"][invariant]
     if result["holds"] is not False:
-        _say(f"  NOT FOUND: {mistake!r} should break {invariant!r}")
+        _print_line(f"  NOT FOUND: {mistake!r} should break {invariant!r}")
         return False
     steps = len(result["counterexample"]) - 1
-    _say(f"  {mistake!r} breaks {invariant!r} in {steps} steps")
+    _print_line(f"  {mistake!r} breaks {invariant!r} in {steps} steps")
     return True
 
 
 def _stop_at_first(protocol: Protocol, invariant: str) -> Protocol:
-    """Make a search end at the first counterexample, which is a shortest one."""
+    """Stop the search at the first counterexample, which is a shortest one."""
     holds, steps = protocol.invariants[invariant], protocol.transitions
     broken: list[bool] = []
 
@@ -70,10 +70,10 @@
 
 def _show_trace(trace: list[dict]) -> None:
     for step in trace:
-        _say(f"    {step['label']}: {step['state']}")
+        _print_line(f"    {step['label']}: {step['state']}")
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
 
 
--- a/model/configuration.py
+++ b/model/configuration.py
@@ -1,8 +1,9 @@
-"""Declarations: three instances, a service that may go back, an operators' race.
+"""Specifies how instances agree on a declaration.
 
-Versions are pairs of revision and digest. Instances are replaced at any time and then
-know nothing; the service may show any version; one instance may be cut off from its
-peers.
+There are three instances, a service that may return older versions, and operators that
+publish two declarations of the same revision. Versions are pairs of revision and
+digest. Instances are replaced at any time and then know no version; the service may
+show any version; one instance may be partitioned from its peers.
 """
 
 from itertools import permutations
@@ -17,18 +18,18 @@
 
 
 class State(NamedTuple):
-    """Everything about the declarations.
+    """State of the declarations.
 
     Attributes:
-        versions: In force at each instance; NONE before it knows any.
+        versions: Version in force at each instance, NONE before it knows any.
         ready: Which instances serve.
         floors: For each instance that starts, the highest version that a serving
-            peer had in force when it started, as long as neither a cut nor a
-            replacement of a peer came between.
-        asked: For each instance that starts, the peers it has heard.
-        went_back: Whether some instance took a lower version than it had.
-        diverged: Whether all heard each other and still differ.
-        cut: Whether the last instance is cut off from its peers.
+            peer had in force when it started, as long as neither a partition nor a
+            replacement of a peer has happened since.
+        asked: For each instance that starts, the peers that have responded to it.
+        went_back: Whether an instance replaced its version by a lower one.
+        diverged: Whether all instances have exchanged versions and still differ.
+        cut: Whether the last instance is partitioned from its peers.
     """
 
     versions: tuple = (NONE,) * len(INSTANCES)
@@ -41,7 +42,7 @@
 
 
 def steps(state: State, mistake: str) -> Steps:
-    """All next states; past a broken invariant nothing more is of interest."""
+    """Yield all next states; states that break an invariant have none."""
     if state.went_back or state.diverged:
         return
     for instance in INSTANCES:
@@ -65,8 +66,8 @@
         fetched = _offer(state, asker, state.versions[peer], mistake)
         moved = moved or fetched != state
         if not state.ready[asker]:
-            heard = state.asked[asker] | {peer}
-            fetched = fetched._replace(asked=put(state.asked, asker, heard))
+            responded = state.asked[asker] | {peer}
+            fetched = fetched._replace(asked=put(state.asked, asker, responded))
         yield f"hear {asker} {peer}", fetched
     if not moved and not state.cut and len(set(state.versions)) > 1:
         yield "nothing_left_to_hear", state._replace(diverged=True)
--- a/model/permits.py
+++ b/model/permits.py
@@ -1,9 +1,8 @@
-"""Permits: one cold target, its home, the home after it, and some holders.
+"""Specifies permits for one cold target, its home, the next home and some holders.
 
-Time passes in ticks of the longest message delay that still matters. A holder or home
-that sleeps simply takes no step while ticks go by. The new home comes about by a
-change of the instance list, which the old home may see late or, when its reads fail,
-not at all.
+A tick is the longest message delay that still matters. A paused holder or home takes
+no steps while ticks pass. The new home is chosen by a change of the instance list,
+which the old home may see late or, when its reads fail, not at all.
 """
 
 from typing import NamedTuple
@@ -20,22 +19,23 @@
 
 
 class State(NamedTuple):
-    """Everything about one cold target.
+    """State of one cold target.
 
     Attributes:
-        phases: Of each holder: ``idle``, ``asked``, ``granted`` or ``running``.
-        ages: Ticks since each holder asked.
-        homes: The home that each holder asked.
-        permits: Of each home, ticks left of the permit of each holder, or FREE.
-        unproven: Of each home, calls that may run although no permit accounts for them.
-        reports: Of each home, the latest report since it last added to unproven, or
+        phases: Phase of each holder: ``idle``, ``asked``, ``granted`` or ``running``.
+        ages: Ticks since the request of each holder.
+        homes: Home that each holder sent its request to.
+        permits: For each home, remaining ticks of the permit of each holder, or FREE.
+        unproven: For each home, calls that may run without a permit to account for
+            them.
+        reports: For each home, the latest report since it last added to unproven, or
             UNKNOWN.
-        published: Ticks since the list named the new home, or FREE before.
+        published: Ticks since the list named the new home, FREE before that.
         old_view_age: Ticks since the old home last read the list.
         old_stepped_down: Whether the old home has seen the new list.
-        waited: Ticks since the new home saw the new list, or FREE before.
-        limit: The target's cold limit.
-        has_successor: Whether a new home may come about.
+        waited: Ticks since the new home saw the new list, FREE before that.
+        limit: Cold limit of the target.
+        has_successor: Whether a new home may be chosen.
     """
 
     phases: tuple[str, ...]
@@ -53,7 +53,7 @@
 
 
 def steps(state: State, mistake: str) -> Steps:
-    """All next states."""
+    """Yield all next states."""
     for holder in range(len(state.phases)):
         yield from _holder_steps(state, holder, mistake)
     yield from _list_steps(state)
@@ -95,8 +95,8 @@
         allowed = fresh and not state.old_stepped_down
     else:
         allowed = state.waited >= _takeover(mistake)
-    out = sum(left != FREE for left in state.permits[home])
-    return allowed and out + state.unproven[home] < state.limit
+    active = sum(left != FREE for left in state.permits[home])
+    return allowed and active + state.unproven[home] < state.limit
 
 
 def _takeover(mistake: str) -> int:
--- a/model/placement.py
+++ b/model/placement.py
@@ -1,7 +1,8 @@
-"""Placement: three targets of which one is to keep a model that the others have.
+"""Specifies how a model moves to the one of three targets that shall keep it.
 
-Each target's home decides by reports that may be old. Targets don't die here; a model
-whose only copy dies is loaded anew by the plan.
+The other targets have the model loaded. The home of each target decides by reports
+that may be old. Targets don't crash here: the plan reloads a model whose only copy is
+lost.
 """
 
 from itertools import permutations
@@ -13,12 +14,12 @@
 
 
 class State(NamedTuple):
-    """Everything about one model.
+    """State of one model.
 
     Attributes:
-        keeper: The target that the plan gives the model to.
+        keeper: Target that the plan assigns the model to.
         held: Which targets have it loaded.
-        views: For each target's home, which targets it believes to have it.
+        views: For the home of each target, which targets it believes to have it loaded.
     """
 
     keeper: int
@@ -27,7 +28,7 @@
 
 
 def steps(state: State, mistake: str) -> Steps:
-    """All next states."""
+    """Yield all next states."""
     for target in TARGETS:
         if target == state.keeper:
             yield "load", state._replace(held=put(state.held, target, True))
--- a/model/rates.py
+++ b/model/rates.py
@@ -1,9 +1,10 @@
-"""A rate of one request a tick, shared by four instances, of which one may be cut off.
+"""Specifies a rate of one request per tick, shared by four instances.
 
-An owner on each side of a cut gives out permits. What it hears of the others lags by a
-tick. Owners on the larger side may stop in turn, each of them after it gave out all
-that it had. A permit is counted in as many units as there are instances, so that an
-owner gains a unit a tick for each instance that it hears.
+One instance may be partitioned from the others. An owner on each side of the partition
+grants permits. Its view of the other instances lags by a tick. Owners on the larger
+side may stop in turn, each of them after it has granted all its permits. A permit
+consists of as many units as there are instances, so an owner gains one unit per tick
+for each instance that it can reach.
 """
 
 from typing import NamedTuple
@@ -12,24 +13,24 @@
 
 INSTANCES = 4
 TICKS = 4
-KEPT = 2 * INSTANCES
+MAX_UNITS = 2 * INSTANCES
 MAIN, CUT_OFF = 0, 1
-MOST_CHANGES = 3
-# One and a half times what the ticks allow, and five requests more.
+MAX_CHANGES = 3
+# One and a half times the rate over all ticks, plus five requests of slack.
 ALLOWED = 1.5 * TICKS + 5
 
 
 class State(NamedTuple):
-    """Everything about one rate.
+    """State of one rate.
 
     Attributes:
         tick: Ticks that have passed.
-        is_cut: Whether one instance is cut off.
-        sees_cut: Of each side, whether it has noticed.
-        units: Of the owner on each side, what it may give out.
+        is_cut: Whether one instance is partitioned.
+        sees_cut: Whether each side has noticed the partition.
+        units: Units that the owner on each side may grant.
         stopped: Owners on the larger side that have stopped.
-        changes: Cuts and ends of cuts so far.
-        granted: Permits given out so far.
+        changes: Starts and ends of partitions so far.
+        granted: Permits granted so far.
     """
 
     is_cut: bool
@@ -42,10 +43,10 @@
 
 
 def steps(state: State, mistake: str) -> Steps:
-    """All next states."""
+    """Yield all next states."""
     if state.tick < TICKS:
         yield "tick", _tick(state, mistake)
-    if state.changes < MOST_CHANGES:
+    if state.changes < MAX_CHANGES:
         changed = state._replace(is_cut=not state.is_cut, changes=state.changes + 1)
         yield "heal" if state.is_cut else "cut", changed
     for side in (MAIN, CUT_OFF):
@@ -56,8 +57,8 @@
                 state._replace(units=units, granted=state.granted + 1),
             )
     if state.stopped < INSTANCES - 2:
-        kept = KEPT if mistake == "a new owner begins with permits" else 0
-        units = put(state.units, MAIN, kept)
+        inherited = MAX_UNITS if mistake == "a new owner begins with permits" else 0
+        units = put(state.units, MAIN, inherited)
         yield "stop", state._replace(units=units, stopped=state.stopped + 1)
 
 
@@ -71,17 +72,17 @@
         if not _is_owner(state, side):
             units = put(units, side, 0)
             continue
-        heard = _heard(state, side)
+        reachable = _count_reachable(state, side)
         if mistake == "each side gives out the whole rate":
-            heard = INSTANCES
-        units = put(units, side, min(KEPT, units[side] + heard))
+            reachable = INSTANCES
+        units = put(units, side, min(MAX_UNITS, units[side] + reachable))
     return state._replace(
         tick=state.tick + 1, units=units, sees_cut=(state.is_cut, state.is_cut)
     )
 
 
-def _heard(state: State, side: int) -> int:
-    """Instances that the owner on a side believes to live, itself among them."""
+def _count_reachable(state: State, side: int) -> int:
+    """Return how many instances the owner on a side sees alive, itself included."""
     if side == CUT_OFF:
         return 1
     return INSTANCES - state.stopped - state.sees_cut[MAIN]
@@ -92,7 +93,7 @@
 SPECIFICATION = Specification(
     name="shared rate",
     bounds="four instances, one that is cut off and found again, owners that stop",
-    initial=State(True, (True, True), (KEPT, KEPT)),
+    initial=State(True, (True, True), (MAX_UNITS, MAX_UNITS)),
     steps=steps,
     invariants={_WITHIN_LIMIT: lambda s: s["granted"] <= ALLOWED},
     mistakes={
--- a/model/specification.py
+++ b/model/specification.py
@@ -1,4 +1,4 @@
-"""What a specification consists of and how its states are stepped."""
+"""The parts of a specification and its conversion for the model checker."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
@@ -9,16 +9,16 @@
 
 
 class Specification(NamedTuple):
-    """One specification with the mistakes that it must be able to find.
+    """A specification and the deliberate mistakes that its invariants must catch.
 
     Attributes:
-        name: Name for the table.
-        bounds: What is bounded, in words.
-        initial: The first state.
-        steps: Yields a label and the next state, given a state and a mistake, which
-            is an empty string for the protocol as built.
-        invariants: What must hold in every state.
-        mistakes: Each mistake with the invariant that it must break.
+        name: Name in the table of verdicts.
+        bounds: Description of the bounds of the search.
+        initial: Initial state.
+        steps: Yields pairs of a label and a next state, given a state and a mistake.
+            The mistake is an empty string for the protocol as implemented.
+        invariants: Conditions that must hold in every state, by name.
+        mistakes: The invariant that each mistake must break.
     """
 
     name: str
@@ -29,7 +29,7 @@
     mistakes: dict[str, str]
 
     def protocol(self, mistake: str = "") -> Protocol:
-        """Make what the checker takes."""
+        """Return the protocol for the model checker, with a mistake if one is given."""
         return Protocol(
             name=self.name,
             candidate=False,
@@ -41,5 +41,5 @@
 
 
 def put(values: tuple, index: int, value: object) -> tuple:
-    """A copy of a tuple with one value replaced."""
+    """Return a copy of a tuple with one value replaced."""
     return (*values[:index], value, *values[index + 1 :])
--- a/model/tickets.py
+++ b/model/tickets.py
@@ -1,7 +1,7 @@
-"""Tickets: one request that must not be repeated, its issuer and its witness.
+"""Specifies tickets: a request that must not be repeated, its issuer and its witness.
 
-Processes stop, are replaced and sleep at any step (a sleeping one takes no steps while
-others do); each message may arrive late, more than once or never.
+Processes may stop, be replaced or be paused at any step; a paused process takes no
+steps while the others do. Each message may arrive late, more than once or never.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class State(NamedTuple):
-    """Everything about one ticket.
+    """State of one ticket.
 
     Attributes:
         issuer: ``ready``, ``asked``, ``recorded``, ``sent``, ``answered``,
@@ -22,11 +22,12 @@
         handover_message: The issuer's TicketHandover in the network: ``none``,
             ``unused`` if it lets the witness run this ticket, or ``used``.
         witness: ``up`` or ``replaced``.
-        record: The witness's record: ``none``, ``started``, ``finished``, ``sealed``.
-        forgotten: Whether the witness's memory of this ticket has run out.
+        record: Record of the witness: ``none``, ``started``, ``finished``, or
+            ``sealed`` for a ticket that must not start any more.
+        forgotten: Whether the witness's retention of this ticket has expired.
         inherited: Whether the witness has taken the ticket over.
-        runs: How often the target ran the request.
-        told_not_run: Whether some caller was told that it did not run.
+        runs: How often the target has run the request.
+        told_not_run: Whether a caller was told that the request did not run.
     """
 
     issuer: str = "ready"
@@ -44,7 +45,7 @@
 
 
 def steps(state: State, mistake: str) -> Steps:
-    """All next states; past a second run nothing more is of interest."""
+    """Yield all next states; after a second run there are none."""
     if state.runs > 1:
         return
     yield from _issuer_steps(state, mistake)
@@ -104,7 +105,7 @@
 
 
 def _caller_steps(state: State, mistake: str) -> Steps:
-    """A caller asks at the witness, through whichever instance, at any time."""
+    """Yield the steps of a caller that asks the witness, through any instance."""
     step = state._replace
     if state.witness != "up":
         if mistake == "trusts a replaced witness":
--- a/packages/standins/bergamotsaddle_standins/_green.py
+++ b/packages/standins/bergamotsaddle_standins/_green.py
@@ -1,9 +1,9 @@
-"""Makes the standard library green; to be imported before anything else."""
+"""Patches the standard library for eventlet; import this module first."""
 
 import warnings
 
-# eventlet warns at import that it is in bugfix mode upstream, which docs/DESIGN.md
-# deals with; on every start of a command the warning would hide real messages.
+# eventlet warns at import that it is in bugfix mode upstream (see docs/DESIGN.md).
+# Printed at every start of a command, the warning would hide real messages.
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 
 import eventlet  # noqa: E402
--- a/packages/standins/bergamotsaddle_standins/bench.py
+++ b/packages/standins/bergamotsaddle_standins/bench.py
@@ -1,4 +1,4 @@
-"""Compares the policies with plain baselines on loopback (``make bench``)."""
+"""Compares the routing policies with simple baselines (``make bench``)."""
 
 import bergamotsaddle_standins._green  # noqa: F401
 
@@ -12,7 +12,7 @@
 import msgspec
 
 from bergamotsaddle_standins.fleet import Fleet, FleetSpec
-from bergamotsaddle_standins.load import Load, LoadSpec, TeamResult, calls_a_stage
+from bergamotsaddle_standins.load import Load, LoadSpec, TeamResult, calls_per_stage
 from bergamotsaddle_standins.targets import TargetSpec
 
 SEEDS = (1, 2)
@@ -20,40 +20,40 @@
 DEADLINE = 1.0
 TOKENS = 8
 _SLOTS = 4
-_FIRST = 0.08
-_TOKEN = 0.01
+_FIRST_TOKEN_S = 0.08
+_TOKEN_S = 0.01
 _ENGINES = 3
-CAPACITY = _ENGINES * _SLOTS / (_FIRST + TOKENS * _TOKEN)
+CAPACITY = _ENGINES * _SLOTS / (_FIRST_TOKEN_S + TOKENS * _TOKEN_S)
 _TARGETS = (
     TargetSpec("encode-{zone}", "encode", slots=16, seconds=0.01),
     TargetSpec("retrieve-{zone}", "retrieve", slots=16, seconds=0.02),
     TargetSpec("rerank-{zone}", "rerank", slots=16, seconds=0.02),
-    TargetSpec("engine-{zone}", "generate", _SLOTS, _FIRST, _TOKEN),
+    TargetSpec("engine-{zone}", "generate", _SLOTS, _FIRST_TOKEN_S, _TOKEN_S),
 )
 POLICIES = {
     "product": {},
     "baseline": {"routing": "round_robin", "limit": "unlimited", "admission": "none"},
     "declared": {"routing": "round_robin", "limit": "declared", "admission": "none"},
 }
-_OTHERS = ("farm-managers", "skippers")
+_STEADY_TEAMS = ("farm-managers", "skippers")
 
 
 class Scenario(NamedTuple):
-    """One situation.
+    """A load and a disturbance to run the policies under.
 
     Attributes:
-        rate: Arrivals as a part of the capacity.
-        during: What happens while requests arrive.
-        flood: Arrivals of one team beyond that, as a part of the capacity.
+        rate: Arrival rate as a fraction of the capacity.
+        disturb: Called with the fleet while requests arrive.
+        flood: Additional arrival rate of one team, as a fraction of the capacity.
     """
 
     rate: float
-    during: Callable[[Fleet], None] = lambda fleet: None
+    disturb: Callable[[Fleet], None] = lambda fleet: None
     flood: float = 0.0
 
 
 class Row(NamedTuple):
-    """Figures of one run."""
+    """Results of one run of a scenario."""
 
     scenario: str
     policy: str
@@ -67,11 +67,11 @@
     refusals: dict[str, int]
 
 
-def _slow(fleet: Fleet) -> None:
+def _slow_engine(fleet: Fleet) -> None:
     fleet.control_target("engine-mid-a", slow=10.0)
 
 
-def _fail(fleet: Fleet) -> None:
+def _fail_reranker(fleet: Fleet) -> None:
     fleet.control_target("rerank-mid-b", fail=1.0)
 
 
@@ -80,7 +80,7 @@
     fleet.control_target("engine-mid-c", cold=True)
 
 
-def _zone(fleet: Fleet) -> None:
+def _drain_and_restore_zone(fleet: Fleet) -> None:
     for state in ("out", "in"):
         eventlet.sleep(SECONDS / 3)
         fleet.zone_states["mid-a"] = state
@@ -90,16 +90,16 @@
 SCENARIOS = {
     "steady": Scenario(0.6),
     "overload": Scenario(2.0),
-    "slow engine": Scenario(0.45, _slow),
-    "failing": Scenario(0.5, _fail),
+    "slow engine": Scenario(0.45, _slow_engine),
+    "failing": Scenario(0.5, _fail_reranker),
     "turns cold": Scenario(0.5, _turn_cold),
-    "zone out, back": Scenario(0.5, _zone),
+    "zone out, back": Scenario(0.5, _drain_and_restore_zone),
     "flood": Scenario(0.3, flood=1.7),
 }
 
 
-def run(name: str, policy: str, seed: int) -> Row:
-    """Run one scenario once."""
+def run_scenario(name: str, policy: str, seed: int) -> Row:
+    """Run a scenario once under a policy and return its results."""
     scenario = SCENARIOS[name]
     spec = FleetSpec(targets=_TARGETS, policies=POLICIES[policy])
     base = scenario.rate * CAPACITY
@@ -109,19 +109,19 @@
         warm = {team: 0.3 * CAPACITY / len(rates) for team in rates}
         Load(fleet, LoadSpec(warm, 2.0, DEADLINE, TOKENS), seed).run()
         load = Load(fleet, LoadSpec(rates, SECONDS, DEADLINE, TOKENS), seed)
-        during = eventlet.spawn(scenario.during, fleet)
+        disturbance = eventlet.spawn(scenario.disturb, fleet)
         results = load.run()
-        during.wait()
-        calls = calls_a_stage(fleet)
-    return _row(name, policy, seed, results, calls)
+        disturbance.wait()
+        calls = calls_per_stage(fleet)
+    return _make_row(name, policy, seed, results, calls)
 
 
-def _row(
+def _make_row(
     name: str, policy: str, seed: int, results: dict[str, TeamResult], calls: float
 ) -> Row:
     requests = sum(result.requests for result in results.values())
     in_time = sum(result.in_time for result in results.values())
-    others = [results[team] for team in _OTHERS]
+    others = [results[team] for team in _STEADY_TEAMS]
     refusals: dict[str, int] = {}
     for result in results.values():
         for kind, count in result.refusals.items():
@@ -140,14 +140,14 @@
     )
 
 
-def show(rows: list[Row]) -> None:
+def print_results(rows: list[Row]) -> None:
     """Print the rows of one scenario and the ratio to the best baseline."""
     for row in rows:
         figures = (
             f"{row.attainment:11.3f}{row.goodput:9.2f}{row.others:8.3f}"
             f"{row.p95_ms:8.0f}{row.refused_p95_ms:9.0f}{row.calls_a_stage:8.2f}"
         )
-        _say(
+        _print_line(
             f"{row.scenario:<16}{row.policy:<10}{row.seed:>4}{figures}  {row.refusals}"
         )
     by_policy = {
@@ -158,32 +158,34 @@
     best = max((m for p, m in medians.items() if p != "product"), default=0.0)
     spread = max(by_policy["product"]) - min(by_policy["product"])
     ratio = medians["product"] / best if best else float("inf")
-    _say(f"{'':<16}product / best baseline {ratio:.2f}, spread {spread:.3f}")
+    _print_line(f"{'':<16}product / best baseline {ratio:.2f}, spread {spread:.3f}")
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
 def main() -> int:
-    """Run the scenarios named, or all; ``--json`` prints JSON lines instead."""
+    """Run the named scenarios, or all; ``--json`` prints JSON lines instead."""
     arguments = sys.argv[1:]
     as_json = "--json" in arguments
     names = [a for a in arguments if not a.startswith("--")] or list(SCENARIOS)
     if not as_json:
-        _say(f"capacity {CAPACITY:.0f} requests/s, deadline {DEADLINE} s")
-        _say(
+        _print_line(f"capacity {CAPACITY:.0f} requests/s, deadline {DEADLINE} s")
+        _print_line(
             f"{'scenario':<16}{'policy':<10}seed attainment  goodput  others"
             "  p95 ms  ref. ms calls/st"
         )
     for name in names:
-        rows = [run(name, policy, seed) for seed in SEEDS for policy in POLICIES]
+        rows = [
+            run_scenario(name, policy, seed) for seed in SEEDS for policy in POLICIES
+        ]
         if as_json:
             for row in rows:
-                _say(msgspec.json.encode(row._asdict()).decode())
+                _print_line(msgspec.json.encode(row._asdict()).decode())
             continue
-        show(rows)
+        print_results(rows)
     return 0
 
 
--- a/packages/standins/bergamotsaddle_standins/capacity.py
+++ b/packages/standins/bergamotsaddle_standins/capacity.py
@@ -1,8 +1,8 @@
-"""Measures what docs/CAPACITY.md is worked out from (``make capacity``).
+"""Measures the figures that docs/CAPACITY.md is based on (``make capacity``).
 
-Slopes of state and processor time come from the daemon's own objects in this process,
-costs of serving from real daemons on loopback. Everything is bounded and stops by
-itself.
+Memory and processor time per target, team and report are measured on the daemon's own
+objects in this process; the cost of serving is measured on real daemons on loopback.
+Every measurement is bounded and ends by itself.
 """
 
 import bergamotsaddle_daemon._green  # noqa: F401
@@ -46,10 +46,10 @@
     "[daemon]\nid = e0\nzone = z0\npeer_key = 0123456789abcdef\n"
     "[platform]\nconfig_address = 10.0.0.1:1\ninstances_address = 10.0.0.1:2\n"
 )
-_SILENT = structlog.wrap_logger(
+_SILENT_LOGGER = structlog.wrap_logger(
     structlog.ReturnLogger(), wrapper_class=structlog.BoundLogger, processors=[]
 )
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _IDLE_SECONDS = 6.0
 _STREAMS = 50
 _STREAM_TOKENS = 400
@@ -58,8 +58,8 @@
 _BOOKINGS = 300
 
 
-def make_text(targets: int, teams: int, pipelines: int) -> str:
-    """A declaration of a size."""
+def make_declaration(targets: int, teams: int, pipelines: int) -> str:
+    """Return the text of a declaration of the given size."""
     parts = ["[declaration]\nname = size\nrevision = 1"]
     parts += [f"[zone z{n}]" for n in range(ZONES)]
     parts += [
@@ -77,8 +77,8 @@
     return "\n".join(parts) + "\n"
 
 
-def make_list(entries: int, targets: int) -> InstanceList:
-    """An instance list of a size."""
+def make_instance_list(entries: int, targets: int) -> InstanceList:
+    """Return an instance list of the given size."""
     rows = [
         Instance(f"e{n}", f"z{n % ZONES}", "entry", "live", f"10.1.{n // 250}.1:7000")
         for n in range(entries)
@@ -90,8 +90,8 @@
     return InstanceList(1, {row.id: row for row in rows})
 
 
-def time_of(work: Callable[[], Any], repeat: int = 3) -> float:
-    """Least processor time in seconds of some runs."""
+def measure_processor_seconds(work: Callable[[], Any], repeat: int = 3) -> float:
+    """Return the least processor time in seconds of several runs."""
     best = float("inf")
     for _ in range(repeat):
         began = time.process_time()
@@ -100,8 +100,8 @@
     return best
 
 
-def memory_of(work: Callable[[], Any]) -> tuple[Any, int]:
-    """A result and the bytes that it keeps."""
+def measure_memory(work: Callable[[], Any]) -> tuple[Any, int]:
+    """Return the result of a function and the bytes that it retains."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     result = work()
@@ -111,47 +111,50 @@
 
 
 def show_declarations() -> None:
-    """Bytes and processor time of a declaration by number of targets and teams."""
+    """Print the size and parse time of declarations by number of targets and teams."""
     headers = ("targets", "teams", "text KB", "parse ms", "change ms", "memory KB")
-    say("declaration", *headers)
+    print_row("declaration", *headers)
     for targets, teams in ((100, 100), (1000, 100), (4700, 100), (100, 2200)):
-        text = make_text(targets, teams, 27)
-        seconds = time_of(lambda text=text: parse_declaration(text))
-        whole, kept = memory_of(lambda text=text: parse_declaration(text))
+        text = make_declaration(targets, teams, 27)
+        seconds = measure_processor_seconds(lambda text=text: parse_declaration(text))
+        whole, kept = measure_memory(lambda text=text: parse_declaration(text))
         other = text.replace("revision = 1", "revision = 2", 1)
-        change = time_of(
+        change = measure_processor_seconds(
             lambda other=other, whole=whole: parse_declaration(other, previous=whole)
         )
         row = (len(text) / 1024, seconds * 1000, change * 1000, kept / 1024)
-        say("", targets, teams, *(f"{value:.0f}" for value in row))
+        print_row("", targets, teams, *(f"{value:.0f}" for value in row))
 
 
-def show_change() -> None:
-    """Processor time and memory of taking a changed view."""
-    say(
+def show_view_change() -> None:
+    """Print the processor time and memory needed to apply a changed view."""
+    print_row(
         "change", "entries", "targets", "targets ms", "homes ms", "memory KB", "list KB"
     )
     for entries, targets in ((9, 100), (9, 1000), (39, 522), (350, 1000), (350, 4700)):
-        views = Views(_SETTINGS, DecisionLog(_SETTINGS, _SILENT))
-        views.instances = make_list(entries, targets)
-        views.declaration = parse_declaration(make_text(targets, 5, 5))
+        views = Views(_SETTINGS, DecisionLog(_SETTINGS, _SILENT_LOGGER))
+        views.instances = make_instance_list(entries, targets)
+        views.declaration = parse_declaration(make_declaration(targets, 5, 5))
         known = Targets(_SETTINGS, views)
         homes = Homes(_SETTINGS, views)
         homes.refresh()
-        _, kept = memory_of(known.refresh)
+        _, kept = measure_memory(known.refresh)
         figures = (
-            time_of(known.refresh) * 1000,
-            time_of(lambda views=views: Homes(_SETTINGS, views).refresh()) * 1000,
-            time_of(homes.refresh) * 1000,
+            measure_processor_seconds(known.refresh) * 1000,
+            measure_processor_seconds(
+                lambda views=views: Homes(_SETTINGS, views).refresh()
+            )
+            * 1000,
+            measure_processor_seconds(homes.refresh) * 1000,
             kept / 1024,
             len(encode_instances(views.instances)) / 1024,
         )
-        say("", entries, targets, *(f"{value:.1f}" for value in figures))
+        print_row("", entries, targets, *(f"{value:.1f}" for value in figures))
 
 
 def show_heartbeats() -> None:
-    """Bytes and processor time of a heartbeat by number of reports."""
-    say("heartbeat", "reports", "bytes", "send us", "receive us")
+    """Print the size and processor time of heartbeats by number of reports."""
+    print_row("heartbeat", "reports", "bytes", "send us", "receive us")
     for count in (0, 5, 14, 40):
         reports = tuple(
             TargetReport(f"engine-{n}", False, 9, 0.2) for n in range(count)
@@ -171,69 +174,71 @@
             reports,
         )
         datagram = sign(beat, _KEY)
-        send = time_of(lambda beat=beat: [sign(beat, _KEY) for _ in range(1000)])
-        take = time_of(
+        send = measure_processor_seconds(
+            lambda beat=beat: [sign(beat, _KEY) for _ in range(1000)]
+        )
+        take = measure_processor_seconds(
             lambda data=datagram: [
                 verify_signed(data, Heartbeat, _KEY) for _ in range(1000)
             ]
         )
-        say("", count, len(datagram), f"{send * 1000:.1f}", f"{take * 1000:.1f}")
+        print_row("", count, len(datagram), f"{send * 1000:.1f}", f"{take * 1000:.1f}")
 
 
 def show_requests() -> None:
-    """Bytes of a poll of a target's load and of a watch of the platform."""
-    say("request", "sent B", "answer B")
+    """Print the bytes of a poll of a target's load and of a watch on the platform."""
+    print_row("request", "sent B", "answer B")
     app = TargetApp(TargetSpec("engine-1000", "generate", models=("m1", "m2"), holds=2))
     port = serve(app)
-    with _Recorder(port) as recorder:
-        make_http_load_reader()(recorder.address)
-        say("poll", recorder.sent, recorder.answered)
+    with _CountingProxy(port) as proxy:
+        make_http_load_reader()(proxy.address)
+        print_row("poll", proxy.request_bytes, proxy.response_bytes)
     service = PlatformService()
     service.value.publish(b"x")
     tag = service.value.visible()[0]
-    with _Recorder(serve(service)) as recorder:
-        HttpReader(recorder.address, "/v1/values/declaration").read(tag, 0.1)
-        say("watch", recorder.sent, recorder.answered)
+    with _CountingProxy(serve(service)) as proxy:
+        HttpReader(proxy.address, "/v1/values/declaration").read(tag, 0.1)
+        print_row("watch", proxy.request_bytes, proxy.response_bytes)
 
 
-class _Recorder:
-    """Passes one connection on and counts its bytes.
+class _CountingProxy:
+    """Forwards one connection and counts its bytes in each direction.
 
     Args:
-        port: Where to pass it on to.
+        port: Port on loopback to forward to.
     """
 
     def __init__(self, port: int) -> None:
-        self._to = ("127.0.0.1", port)
+        self._destination = ("127.0.0.1", port)
         self._listener = eventlet.listen(("127.0.0.1", 0))
         self.address = Address(*self._listener.getsockname())
-        self.sent = 0
-        self.answered = 0
+        self.request_bytes = 0
+        self.response_bytes = 0
 
-    def __enter__(self) -> "_Recorder":
-        self._thread = eventlet.spawn(self._pass_on)
+    def __enter__(self) -> "_CountingProxy":
+        self._thread = eventlet.spawn(self._forward_request)
         return self
 
     def __exit__(self, *_: object) -> None:
         self._thread.kill()
 
-    def _pass_on(self) -> None:
+    def _forward_request(self) -> None:
         client, _ = self._listener.accept()
-        server = eventlet.connect(self._to)
-        eventlet.spawn_n(self._answer, server, client)
+        server = eventlet.connect(self._destination)
+        eventlet.spawn_n(self._forward_response, server, client)
         while data := client.recv(65_536):
-            self.sent += len(data)
+            self.request_bytes += len(data)
             server.sendall(data)
 
-    def _answer(self, server: Any, client: Any) -> None:
+    def _forward_response(self, server: Any, client: Any) -> None:
         while data := server.recv(65_536):
-            self.answered += len(data)
+            self.response_bytes += len(data)
             client.sendall(data)
 
 
 def show_idle() -> None:
-    """Idle cost of a daemon by number of daemons, targets and platform calls."""
-    say("idle daemon", "daemons", "targets", "core %", "RSS MB", "calls/s")
+    """Print the cost of an idle daemon by number of daemons and targets."""
+    print_row("idle daemon", "daemons", "targets", "core %", "RSS MB", "calls/s")
     target = TargetSpec("stock-{zone}", "stock")
     for daemons, targets in ((1, 1), (3, 1), (8, 1), (3, 8)):
         specs = tuple(target._replace(id=f"s{n}-{{zone}}") for n in range(targets))
@@ -249,7 +254,7 @@
             calls = (_platform_calls(fleet) - before) / _IDLE_SECONDS / len(pids)
             memory = max(resident_bytes(pid) for pid in pids) / 1e6
         core = 100 * used / _IDLE_SECONDS / len(pids)
-        say(
+        print_row(
             "",
             len(pids),
             3 * targets,
@@ -260,69 +265,74 @@
 
 
 def show_serving() -> None:
-    """Processor time of a stage call and of a relayed token."""
+    """Print the processor time of a stage call and of a relayed token."""
     stages = tuple(
         TargetSpec(f"{kind}-{{zone}}", kind, slots=64, seconds=0.0)
         for kind in ("encode", "retrieve", "rerank")
     )
     engine = TargetSpec("engine-{zone}", "generate", 256, 0.0, 0.0)
-    say("serving", "count", "us each", "per core s")
-    # The stand-in is busier than the daemon here; its pauses are not to be measured.
+    print_row("serving", "count", "us each", "per core s")
+    # The stand-in is busier than the daemon here. A long silence limit keeps its pauses
+    # from cutting streams.
     timing = {"token_silence": "10s"}
     spec = FleetSpec(zones=("one",), targets=(*stages, engine), timing=timing)
     with Fleet(spec._replace(deadline="60s")) as fleet:
         pid = fleet.daemons["entry-one-1"].pid
-        caller = _caller(fleet)
+        caller = _make_caller(fleet)
         body = {"input": "x", "stream": True, "max_tokens": 1}
         calls = _CALLS // _CALLERS
-        spent = _spend(fleet, pid, caller, body, calls, _CALLERS)
+        spent = _measure_calls(fleet, pid, caller, body, calls, _CALLERS)
         requests = calls * _CALLERS
         each = spent / (4 * requests)
-        say("stage call", 4 * requests, f"{each * 1e6:.0f}", f"{1 / each:.0f}")
+        print_row("stage call", 4 * requests, f"{each * 1e6:.0f}", f"{1 / each:.0f}")
         body = {"input": "x", "stream": True, "max_tokens": _STREAM_TOKENS}
         before = resident_bytes(pid)
-        spent = _spend(fleet, pid, caller, body, 1, _STREAMS)
+        spent = _measure_calls(fleet, pid, caller, body, 1, _STREAMS)
         tokens = _STREAMS * _STREAM_TOKENS
         spent -= _STREAMS * 4 * each
-        say("token", tokens, f"{spent / tokens * 1e6:.1f}", f"{tokens / spent:.0f}")
+        print_row(
+            "token", tokens, f"{spent / tokens * 1e6:.1f}", f"{tokens / spent:.0f}"
+        )
         grown = (resident_bytes(pid) - before) / 1024 / _STREAMS
-        say("open stream", _STREAMS, "KB each", f"{grown:.0f}")
+        print_row("open stream", _STREAMS, "KB each", f"{grown:.0f}")
 
 
 def show_bookings() -> None:
-    """Processor time of a ticketed request, issuer and witness together."""
-    say("booking", "count", "ms each")
+    """Print the processor time of a ticketed request at issuer and witness."""
+    print_row("booking", "count", "ms each")
     orders = TargetSpec("orders-{zone}", "orders", 64, 0.0)
     with Fleet(FleetSpec(zones=("one", "two"), targets=(orders,))) as fleet:
         pids = [process.pid for process in fleet.daemons.values()]
-        address = fleet.callers("entry-one-1")
+        address = fleet.caller_address("entry-one-1")
         caller = Caller(address, fleet.keys["skippers"], limit=10.0)
         _book(caller, 20)
         before = sum(processor_seconds(pid) for pid in pids)
         _book(caller, _BOOKINGS)
         spent = sum(processor_seconds(pid) for pid in pids) - before
-    say("", _BOOKINGS, f"{spent / _BOOKINGS * 1000:.2f}")
+    print_row("", _BOOKINGS, f"{spent / _BOOKINGS * 1000:.2f}")
 
 
 def _book(caller: Caller, count: int) -> None:
     for _ in range(count):
-        ticket = caller.ask("/v1/tickets/orders").body["ticket"]
+        ticket = caller.post("/v1/tickets/orders").body["ticket"]
         headers = {"X-Ticket": ticket}
-        reply = caller.ask("/v1/services/orders/book", {}, headers=headers)
+        reply = caller.post("/v1/services/orders/book", {}, headers=headers)
         if reply.status != 200:
-            raise SystemExit(f"not booked: {reply.status} {reply.body}")
+            raise SystemExit(f"not booked: status {reply.status}, body {reply.body}")
 
 
-def _spend(
+def _measure_calls(
     fleet: Fleet, pid: int, caller: Caller, body: dict, calls: int, callers: int
 ) -> float:
-    """Processor time a daemon takes for some callers' calls."""
+    """Return the processor seconds a daemon uses to serve concurrent callers."""
 
     def work() -> None:
         for _ in range(calls):
-            reply = caller.ask(f"/v1/pipelines/{PIPELINE}", body)
-            if not reply.whole:
-                raise SystemExit(f"not whole: {reply.status} {reply.body}")
+            reply = caller.post(f"/v1/pipelines/{PIPELINE}", body)
+            if not reply.is_complete:
+                raise SystemExit(
+                    f"incomplete response: status {reply.status}, body {reply.body}"
+                )
 
     work()
     before = processor_seconds(pid)
@@ -332,8 +342,10 @@
     return processor_seconds(pid) - before
 
 
-def _caller(fleet: Fleet) -> Caller:
-    return Caller(fleet.callers("entry-one-1"), fleet.keys["barge-crews"], limit=60.0)
+def _make_caller(fleet: Fleet) -> Caller:
+    return Caller(
+        fleet.caller_address("entry-one-1"), fleet.keys["barge-crews"], limit=60.0
+    )
 
 
 def _platform_calls(fleet: Fleet) -> int:
@@ -341,29 +353,29 @@
 
 
 def processor_seconds(pid: int) -> float:
-    """Processor time that a process has used, user and system."""
+    """Return the user and system processor time of a process in seconds."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
 def resident_bytes(pid: int) -> int:
-    """Memory that a process has resident."""
+    """Return the resident memory of a process in bytes."""
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def say(*cells: Any) -> None:
-    """Print one row."""
+def print_row(*cells: Any) -> None:
+    """Print one row of cells in columns of equal width."""
     sys.stdout.write("".join(f"{cell!s:>13}" for cell in cells) + "\n")
     sys.stdout.flush()
 
 
 def main() -> int:
-    """Measure everything, or what is named."""
+    """Run the named measurements, or all."""
     parts = {
         "declarations": show_declarations,
-        "change": show_change,
+        "change": show_view_change,
         "heartbeats": show_heartbeats,
         "requests": show_requests,
         "idle": show_idle,
--- a/packages/standins/bergamotsaddle_standins/client.py
+++ b/packages/standins/bergamotsaddle_standins/client.py
@@ -1,4 +1,4 @@
-"""A caller: posts requests and checks whether their answers are whole."""
+"""An HTTP client that posts requests and checks that responses are complete."""
 
 from typing import Any, NamedTuple
 
@@ -11,30 +11,30 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes:
         status: HTTP status; 0 if the connection failed.
         body: Parsed JSON, or the last event of a stream.
-        text: The tokens of a stream, joined.
+        text: The concatenated tokens of a stream.
         tokens: Number of tokens received.
-        whole: Whether the answer says that it is complete, and is.
+        is_complete: Whether the response is marked as complete and nothing is missing.
     """
 
     status: int
     body: Any
     text: str = ""
     tokens: int = 0
-    whole: bool = False
+    is_complete: bool = False
 
 
 class Caller:
-    """A caller of one team.
+    """A caller that belongs to one team.
 
     Args:
         address: ``IP:port`` of an entry instance.
         key: The team's key.
-        limit: Seconds after which to give up waiting.
+        limit: Seconds to wait for a response.
     """
 
     def __init__(self, address: str, key: str, *, limit: float = 20.0) -> None:
@@ -42,10 +42,13 @@
         self._key = key
         self._limit = limit
 
-    def ask(
+    def post(
         self, path: str, body: Any = None, *, headers: dict[str, str] | None = None
     ) -> Reply:
-        """Post JSON and read the whole answer."""
+        """Post JSON and read the response to its end.
+
+        A failed connection or a timeout gives a reply with status 0.
+        """
         connection = HTTPConnection(self._host, int(self._port))
         try:
             with eventlet.Timeout(self._limit):
@@ -65,7 +68,7 @@
         if response.headers.get("Content-Type") == "text/event-stream":
             return _read_stream(response.status, response.data)
         answer = msgspec.json.decode(response.data)
-        return Reply(response.status, answer, whole=response.status == 200)
+        return Reply(response.status, answer, is_complete=response.status == 200)
 
 
 def _read_stream(status: int, data: bytes) -> Reply:
--- a/packages/standins/bergamotsaddle_standins/faults.py
+++ b/packages/standins/bergamotsaddle_standins/faults.py
@@ -1,7 +1,7 @@
-"""Brings failures about in real processes (``make faults``).
+"""Injects faults into real processes and audits the outcome (``make faults``).
 
-Each fault gets a deployment of its own with callers at work. What they were told is
-then held against the ledgers of the targets.
+Each fault runs in a deployment of its own under load. What the callers were told is
+then compared with the ledgers of the targets.
 """
 
 import bergamotsaddle_standins._green  # noqa: F401
@@ -29,11 +29,11 @@
 )
 from bergamotsaddle_standins.traffic import Traffic, audit
 
-_BUDGET = 170.0
-_WARM_UP = 1.0
-_EFFECT_LIMIT = 3.0
+_TIME_BUDGET_S = 170.0
+_WARM_UP_S = 1.0
+_MAX_EFFECT_S = 3.0
 _COLD_LIMIT = 2
-_QUIET = 1.0
+_QUIET_S = 1.0
 _STREAMS = 50
 _TIMING = {"stop_notice": "500ms"}
 _SHORT_COLD = {**_TIMING, "list_lag": "1s", "view_limit": "3s", "permit_lifetime": "2s"}
@@ -52,16 +52,18 @@
 
 
 class Effect(NamedTuple):
-    """What a fault showed beside its audit.
+    """What was observed of a fault beside its audit.
 
     Attributes:
-        seconds: How long it took to take effect; None if nothing was to.
-        most_cold: Most calls at once at a cold target; None if none was cold.
-        strict: Whether no request at all may be cut off.
+        seconds: Seconds until the change took effect, or None if that was not
+            measured.
+        max_cold_calls: Highest number of concurrent calls at a cold target, or None
+            if no target was cold.
+        strict: Whether the fault fails if any request was cut off.
     """
 
     seconds: float | None = None
-    most_cold: int | None = None
+    max_cold_calls: int | None = None
     strict: bool = False
 
 
@@ -69,8 +71,8 @@
 FAULTS: dict[str, tuple[Fault, FleetSpec]] = {}
 
 
-def fault(name: str, spec: FleetSpec) -> Callable[[Fault], Fault]:
-    """Make a decorator that adds a fault with its deployment."""
+def register_fault(name: str, spec: FleetSpec) -> Callable[[Fault], Fault]:
+    """Return a decorator that registers a fault with its deployment."""
 
     def add(function: Fault) -> Fault:
         FAULTS[name] = (function, spec)
@@ -79,17 +81,17 @@
     return add
 
 
-@fault("fifty streams", FleetSpec(timing=_TIMING, zones=("mid-a", "mid-b")))
-def fifty_streams(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """Fifty streams at once through two daemons, each byte as the engines sent it."""
+@register_fault("fifty streams", FleetSpec(timing=_TIMING, zones=("mid-a", "mid-b")))
+def fifty_streams(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Run fifty streams through two daemons; each must match what engines sent."""
     callers = [
-        Caller(fleet.callers(name), fleet.keys["farm-managers"])
+        Caller(fleet.caller_address(name), fleet.keys["farm-managers"])
         for name in fleet.daemons
     ]
     body = {"stream": True, "max_tokens": 100}
     threads = [
         eventlet.spawn(
-            callers[number % len(callers)].ask,
+            callers[number % len(callers)].post,
             f"/v1/pipelines/{PIPELINE}",
             {**body, "input": f"stream {number}"},
             headers={"X-Deadline": "30s"},
@@ -99,22 +101,22 @@
     replies = [thread.wait() for thread in threads]
     sent: Counter[str] = Counter()
     for target in fleet.target_ports:
-        sent.update(fleet.ledger(target)["tokens_by_request"])
+        sent.update(fleet.read_ledger(target)["tokens_by_request"])
     differing = [
         reply
         for reply in replies
-        if not reply.whole or len(reply.text) != sent[reply.body["request"]]
+        if not reply.is_complete or len(reply.text) != sent[reply.body["request"]]
     ]
     if differing:
         raise AssertionError(f"{len(differing)} of {_STREAMS} streams differ")
     return Effect(strict=True)
 
 
-@fault("kill and replace", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def kill_and_replace(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A daemon is killed under load, twice, and replaced."""
+@register_fault("kill and replace", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def kill_and_replace(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Kill a daemon under load and replace it, twice."""
     for _ in range(2):
-        name = chance.choice(list(fleet.daemons))
+        name = rng.choice(list(fleet.daemons))
         zone = name.removeprefix("entry-").rpartition("-")[0]
         fleet.daemons[name].kill()
         eventlet.sleep(1.0)
@@ -124,10 +126,10 @@
     return Effect()
 
 
-@fault("freeze and wake", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def freeze_and_wake(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A daemon is paused under load and wakes up late."""
-    process = fleet.daemons[chance.choice(list(fleet.daemons))]
+@register_fault("freeze and wake", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def freeze_and_wake(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Pause a daemon under load and resume it after a few seconds."""
+    process = fleet.daemons[rng.choice(list(fleet.daemons))]
     process.signal(signal.SIGSTOP)
     eventlet.sleep(4.0)
     process.signal(signal.SIGCONT)
@@ -135,10 +137,10 @@
     return Effect()
 
 
-@fault("planned stop", FleetSpec(timing=_TIMING, targets=_LONG_STREAMS))
-def planned_stop(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A daemon is asked to stop while long streams and bookings run."""
-    name = chance.choice(list(fleet.daemons))
+@register_fault("planned stop", FleetSpec(timing=_TIMING, targets=_LONG_STREAMS))
+def planned_stop(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Stop a daemon gracefully while long streams and bookings run."""
+    name = rng.choice(list(fleet.daemons))
     fleet.leaving.add(name)
     began = now()
     code = fleet.daemons[name].stop()
@@ -151,61 +153,65 @@
     return Effect(seconds=None if seconds > 30 else seconds, strict=True)
 
 
-@fault("zone out and back", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def zone_out_and_back(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A zone is taken out under load and returns."""
-    zone = chance.choice(fleet.spec.zones)
+@register_fault("zone out and back", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def zone_out_and_back(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Take a zone out of service under load and put it back."""
+    zone = rng.choice(fleet.spec.zones)
     fleet.zone_states[zone] = "out"
     fleet.publish_declaration()
     inside = [t for t, (_, where) in fleet.target_specs.items() if where == zone]
-    seconds = _until_quiet(fleet, inside)
+    seconds = _measure_time_to_quiet(fleet, inside)
     fleet.zone_states[zone] = "in"
     fleet.publish_declaration()
-    before = _calls(fleet, inside)
-    wait_for(lambda: _calls(fleet, inside) > before, "work in the returned zone")
+    before = _count_calls(fleet, inside)
+    wait_for(lambda: _count_calls(fleet, inside) > before, "work in the returned zone")
     eventlet.sleep(1.0)
     return Effect(seconds=seconds, strict=True)
 
 
-@fault("leaving target", FleetSpec(timing=_TIMING, targets=_TARGETS, list_lag=0.5))
-def leaving_target(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A target leaves, which the lagging list tells."""
-    target = f"engine-{chance.choice(fleet.spec.zones)}"
+@register_fault(
+    "leaving target", FleetSpec(timing=_TIMING, targets=_TARGETS, list_lag=0.5)
+)
+def leaving_target(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Mark a target as leaving in an instance list that lags."""
+    target = f"engine-{rng.choice(fleet.spec.zones)}"
     fleet.leaving.add(target)
     fleet.publish_instances()
-    return Effect(seconds=_until_quiet(fleet, [target]), strict=True)
+    return Effect(seconds=_measure_time_to_quiet(fleet, [target]), strict=True)
 
 
-@fault("cold engines", FleetSpec(timing=_SHORT_COLD, targets=_TARGETS, daemons=2))
-def cold_engines(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """Every engine turns cold; then a daemon is killed, and the list follows."""
+@register_fault(
+    "cold engines", FleetSpec(timing=_SHORT_COLD, targets=_TARGETS, daemons=2)
+)
+def cold_engines(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Make every engine cold, then kill a daemon and publish the new instance list."""
     engines = [t for t in fleet.target_ports if t.startswith("engine")]
     for engine in engines:
         fleet.control_target(engine, cold=True)
     eventlet.sleep(1.5)
-    before = {e: fleet.ledger(e)["runs_by_request"] for e in engines}
+    before = {e: fleet.read_ledger(e)["runs_by_request"] for e in engines}
     for engine in engines:
         fleet.control_target(engine, reset=True)
     eventlet.sleep(5.0)
-    name = chance.choice(list(fleet.daemons))
+    name = rng.choice(list(fleet.daemons))
     fleet.daemons.pop(name).kill()
     fleet.publish_instances()
     eventlet.sleep(7.0)
-    most = max(fleet.ledger(engine)["most_cold"] for engine in engines)
+    most = max(fleet.read_ledger(engine)["most_cold"] for engine in engines)
     served = sum(
-        len(fleet.ledger(e)["runs_by_request"]) > len(before[e]) for e in engines
+        len(fleet.read_ledger(e)["runs_by_request"]) > len(before[e]) for e in engines
     )
     if not served:
         raise AssertionError("no cold engine was used at all")
     for engine in engines:
         fleet.control_target(engine, cold=False)
     eventlet.sleep(2.0)
-    return Effect(most_cold=most)
+    return Effect(max_cold_calls=most)
 
 
-@fault("lost answers", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def lost_answers(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """The orders services take orders and lose some answers."""
+@register_fault("lost answers", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def lost_answers(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Have the orders services accept orders and drop some of the responses."""
     for target in fleet.target_ports:
         if target.startswith("orders"):
             fleet.control_target(target, lose_answers=0.3)
@@ -213,12 +219,10 @@
     return Effect()
 
 
-@fault("crossed and failing", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def crossed_and_failing(
-    fleet: Fleet, traffic: Traffic, chance: random.Random
-) -> Effect:
-    """Some answers name another request, some calls fail, an engine cuts streams."""
-    cutting = f"engine-{chance.choice(fleet.spec.zones)}"
+@register_fault("crossed and failing", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def crossed_and_failing(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Mix up responses, fail calls and have one engine cut its streams."""
+    cutting = f"engine-{rng.choice(fleet.spec.zones)}"
     fleet.control_target(cutting, cut_after=7, repeat=2)
     for target, (spec, _) in fleet.target_specs.items():
         if spec.kind not in ("generate", "orders"):
@@ -227,71 +231,77 @@
     return Effect()
 
 
-@fault("stale service", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def stale_service(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A change is made; then the service is stale and a daemon is replaced."""
-    old = fleet.declaration()
+@register_fault("stale service", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def stale_service(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Publish a change, then serve the old declaration while a daemon is replaced."""
+    old = fleet.declaration_text()
     began = now()
     fleet.publish_declaration()
-    wait_for(lambda: _all_have(fleet, fleet.revision), "the change in force")
+    wait_for(lambda: _all_at_revision(fleet, fleet.revision), "the change in force")
     seconds = now() - began
     fleet.control("config", publish=old)
-    name = chance.choice(list(fleet.daemons))
+    name = rng.choice(list(fleet.daemons))
     zone = name.removeprefix("entry-").rpartition("-")[0]
     fleet.daemons[name].kill()
     process = fleet.start_daemon(name, zone)
     process.wait_listening()
     fleet.publish_instances()
-    wait_for(lambda: get(fleet.callers(name), "/ready")["ready"], "the new daemon")
-    if not _all_have(fleet, fleet.revision):
-        raise AssertionError("a replaced daemon serves by an old declaration")
+    wait_for(
+        lambda: get(fleet.caller_address(name), "/ready")["ready"], "the new daemon"
+    )
+    if not _all_at_revision(fleet, fleet.revision):
+        raise AssertionError("a replaced daemon serves an old declaration")
     fleet.control("config", down=True)
     eventlet.sleep(2.0)
-    if not _all_have(fleet, fleet.revision):
-        raise AssertionError("a declaration went back")
+    if not _all_at_revision(fleet, fleet.revision):
+        raise AssertionError("a daemon returned to an older declaration")
     return Effect(seconds=seconds)
 
 
-@fault("silent target", FleetSpec(timing=_TIMING, targets=_TARGETS))
-def silent_target(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A reranker takes calls and never answers."""
-    zone = chance.choice(fleet.spec.zones)
+@register_fault("silent target", FleetSpec(timing=_TIMING, targets=_TARGETS))
+def silent_target(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Have a reranker accept calls and never respond."""
+    zone = rng.choice(fleet.spec.zones)
     fleet.control_target(f"rerank-{zone}", silent=True)
     eventlet.sleep(4.0)
     return Effect()
 
 
-@fault("cut off", FleetSpec(timing=_TIMING, targets=_TARGETS, relayed=True))
-def cut_off(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A daemon is cut off from its peers while a zone is taken out, and mended."""
-    name = chance.choice(list(fleet.daemons))
-    fleet.cut_off(name, cut=True)
+@register_fault("cut off", FleetSpec(timing=_TIMING, targets=_TARGETS, relayed=True))
+def cut_off(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Partition a daemon from its peers while a zone is taken out of service."""
+    name = rng.choice(list(fleet.daemons))
+    fleet.partition_daemon(name, cut=True)
     eventlet.sleep(3.0)
-    zone = chance.choice(fleet.spec.zones)
+    zone = rng.choice(fleet.spec.zones)
     fleet.zone_states[zone] = "out"
     fleet.publish_declaration()
     inside = [t for t, (_, where) in fleet.target_specs.items() if where == zone]
-    seconds = _until_quiet(fleet, inside)
-    fleet.cut_off(name, cut=False)
-    wait_for(lambda: _all_hear(fleet), "everybody to hear everybody")
+    seconds = _measure_time_to_quiet(fleet, inside)
+    fleet.partition_daemon(name, cut=False)
+    wait_for(lambda: _all_peers_alive(fleet), "all daemons to see each other alive")
     eventlet.sleep(1.0)
     return Effect(seconds=seconds)
 
 
-@fault("one way cut", FleetSpec(timing=_TIMING, targets=_TARGETS, relayed=True))
-def one_way_cut(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """A daemon is heard by its peers and hears nothing of them."""
-    name = chance.choice(list(fleet.daemons))
+@register_fault(
+    "one way cut", FleetSpec(timing=_TIMING, targets=_TARGETS, relayed=True)
+)
+def one_way_cut(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Drop the traffic from its peers to a daemon, while its own still passes."""
+    name = rng.choice(list(fleet.daemons))
     fleet.control_relay(name, cut=True)
     eventlet.sleep(4.0)
     fleet.control_relay(name, cut=False)
-    wait_for(lambda: _all_hear(fleet), "everybody to hear everybody")
+    wait_for(lambda: _all_peers_alive(fleet), "all daemons to see each other alive")
     return Effect()
 
 
-@fault("silent connections", FleetSpec(timing=_TIMING, targets=_TARGETS, relayed=True))
-def silent_connections(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """Connections between daemons go silent for good while new ones work."""
+@register_fault(
+    "silent connections", FleetSpec(timing=_TIMING, targets=_TARGETS, relayed=True)
+)
+def silent_connections(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Silence the open connections between daemons for good; new ones still work."""
     for _ in range(3):
         for name in fleet.daemons:
             fleet.control_relay(name, silence=True)
@@ -299,104 +309,106 @@
     return Effect()
 
 
-@fault("placement", FleetSpec(timing=_SHORT_COLD, targets=_TWO_MODELS))
-def placement(fleet: Fleet, traffic: Traffic, chance: random.Random) -> Effect:
-    """Every engine starts with one model and another is wanted too."""
+@register_fault("placement", FleetSpec(timing=_SHORT_COLD, targets=_TWO_MODELS))
+def placement(fleet: Fleet, traffic: Traffic, rng: random.Random) -> Effect:
+    """Start every engine with the same model while a second model is needed."""
     engines = [t for t in fleet.target_ports if t.startswith("engine")]
 
     def holds_both() -> bool:
-        held = [fleet.loaded(engine) for engine in engines]
+        held = [fleet.read_loaded_models(engine) for engine in engines]
         return {model for models in held for model in models} == {MODEL, "chat-7b"}
 
     seconds = wait_for(holds_both, "both models to be loaded")
     eventlet.sleep(1.0)
-    moved = [e for e in engines if "chat-7b" in fleet.loaded(e)]
+    loaded = [e for e in engines if "chat-7b" in fleet.read_loaded_models(e)]
     order = {"action": "unload", "model": MODEL, "fencing": 1}
     try:
-        post(fleet.target_ports[moved[0]], "/v1/orders", order)
+        post(fleet.target_ports[loaded[0]], "/v1/orders", order)
     except OSError:
         return Effect(seconds=seconds, strict=True)
     raise AssertionError("an engine obeyed an old fencing number")
 
 
-def run(name: str, seed: int) -> bool:
-    """Bring one fault about; returns whether everything held."""
+def run_fault(name: str, seed: int) -> bool:
+    """Run one fault and return whether all its checks passed."""
     function, spec = FAULTS[name]
     with Fleet(spec) as fleet:
         traffic = Traffic(fleet, seed)
         traffic.start()
-        eventlet.sleep(_WARM_UP)
-        trouble = ""
+        eventlet.sleep(_WARM_UP_S)
+        failure = ""
         effect = Effect()
         try:
             effect = function(fleet, traffic, random.Random(seed))
         except (AssertionError, TimeoutError) as error:
-            trouble = str(error)
+            failure = str(error)
         traffic.stop()
         found = audit(fleet, traffic)
-    held = not trouble and not (found.doubled or found.lost or found.false_not_run)
-    held = held and not (effect.strict and found.cut)
-    held = held and (effect.most_cold or 0) <= _COLD_LIMIT
+    passed = not failure and not (found.doubled or found.lost or found.false_not_run)
+    passed = passed and not (effect.strict and found.cut)
+    passed = passed and (effect.max_cold_calls or 0) <= _COLD_LIMIT
     seconds = "" if effect.seconds is None else f"{effect.seconds:.1f}"
-    cold = "" if effect.most_cold is None else str(effect.most_cold)
+    cold = "" if effect.max_cold_calls is None else str(effect.max_cold_calls)
     row = [*(str(value) for value in found), cold, seconds]
-    _say(name, row, ("" if held else "FAILED ") + trouble)
-    return held
+    _print_row(name, row, ("" if passed else "FAILED ") + failure)
+    return passed
 
 
-def _until_quiet(fleet: Fleet, targets: list[str]) -> float:
-    """Seconds until the last call arrived at some targets."""
+def _measure_time_to_quiet(fleet: Fleet, targets: list[str]) -> float:
+    """Return the seconds until the targets received their last call."""
     began = now()
-    last = began
-    calls = _calls(fleet, targets)
-    while now() - last < _QUIET:
+    last_call_at = began
+    calls = _count_calls(fleet, targets)
+    while now() - last_call_at < _QUIET_S:
         eventlet.sleep(0.05)
-        now_calls = _calls(fleet, targets)
-        if now_calls != calls:
-            calls, last = now_calls, now()
-        if last - began > _EFFECT_LIMIT:
-            raise AssertionError(f"new work after {_EFFECT_LIMIT} s")
-    return last - began
+        new_calls = _count_calls(fleet, targets)
+        if new_calls != calls:
+            calls, last_call_at = new_calls, now()
+        if last_call_at - began > _MAX_EFFECT_S:
+            raise AssertionError(f"calls still arrived after {_MAX_EFFECT_S} s")
+    return last_call_at - began
 
 
-def _calls(fleet: Fleet, targets: list[str]) -> int:
-    return sum(fleet.ledger(target)["calls"] for target in targets)
+def _count_calls(fleet: Fleet, targets: list[str]) -> int:
+    return sum(fleet.read_ledger(target)["calls"] for target in targets)
 
 
-def _all_have(fleet: Fleet, revision: int) -> bool:
-    return all(fleet.status(d)["revision"] == revision for d in fleet.daemons)
+def _all_at_revision(fleet: Fleet, revision: int) -> bool:
+    return all(fleet.read_status(d)["revision"] == revision for d in fleet.daemons)
 
 
-def _all_hear(fleet: Fleet) -> bool:
-    peers = [peer for name in fleet.daemons for peer in fleet.status(name)["peers"]]
+def _all_peers_alive(fleet: Fleet) -> bool:
+    peers = [
+        peer for name in fleet.daemons for peer in fleet.read_status(name)["peers"]
+    ]
     return all(peer["alive"] for peer in peers)
 
 
-def _say(name: str, row: list[str], remark: str) -> None:
+def _print_row(name: str, row: list[str], remark: str) -> None:
     cells = "".join(f"{cell:>10}" for cell in row)
     sys.stdout.write(f"{name:<20}{cells}  {remark}\n")
     sys.stdout.flush()
 
 
 def main() -> int:
-    """Run every fault, or those named; ``--seed N`` sets the seed."""
+    """Run the named faults, or all; ``--seed N`` sets the seed."""
     arguments = sys.argv[1:]
     seed = 1
     if "--seed" in arguments:
-        place = arguments.index("--seed")
-        seed = int(arguments[place + 1])
-        del arguments[place : place + 2]
+        position = arguments.index("--seed")
+        seed = int(arguments[position + 1])
+        del arguments[position : position + 2]
     names = arguments or list(FAULTS)
     headers = ["requests", "whole", "refused", "cut", "doubled", "lost", "false n.r."]
-    _say(f"seed {seed}", [*headers, "most cold", "seconds"], "")
+    _print_row(f"seed {seed}", [*headers, "most cold", "seconds"], "")
     began = now()
     results = []
     for name in names:
-        if now() - began > _BUDGET:
-            _say(name, ["not run"], "")
+        if now() - began > _TIME_BUDGET_S:
+            _print_row(name, ["not run"], "")
             results.append(False)
             continue
-        results.append(run(name, seed))
+        results.append(run_fault(name, seed))
     return 0 if all(results) else 1
 
 
--- a/packages/standins/bergamotsaddle_standins/fleet.py
+++ b/packages/standins/bergamotsaddle_standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: platform, targets and daemons as processes."""
+"""A complete deployment on loopback: platform, targets and daemons as processes."""
 
 import signal
 import sys
@@ -15,10 +15,10 @@
 from bergamotsaddle_daemon.clock import now
 from bergamotsaddle_standins.targets import TargetSpec
 
-START_LIMIT = 30.0
-STOP_LIMIT = 30.0
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 _PEER_KEY = "only-for-loopback-demonstrations"
-_STEP = 0.05
+_POLL_S = 0.05
 ZONES = ("mid-a", "mid-b", "mid-c")
 TEAMS = {"barge-crews": 3, "farm-managers": 3, "skippers": 1}
 PIPELINE = "feeding-plan"
@@ -28,17 +28,17 @@
 
 
 class FleetSpec(NamedTuple):
-    """What a deployment is like.
+    """Configuration of a deployment.
 
     Attributes:
         zones: Names of its availability zones.
         daemons: Daemons in each zone.
-        targets: Targets of each zone; ``{zone}`` in an id is filled in.
+        targets: Targets of each zone; ``{zone}`` in an id is replaced by the zone.
         list_lag: Lag of the instance list in seconds.
-        timing: Settings that differ from the defaults, as in the INI file.
+        timing: Timing settings that differ from the defaults, as in the INI file.
         policies: Policies that differ from the defaults.
         deadline: Deadline of the pipeline.
-        relayed: Whether a relay that can be cut stands before each daemon's peers.
+        relayed: Whether each daemon's peer address is a relay that can be cut.
     """
 
     zones: tuple[str, ...] = ZONES
@@ -59,10 +59,11 @@
 
 
 class Process:
-    """One process and where it listens.
+    """A child process and the ports it listens on.
 
-    Its output goes to a file: reading a pipe line by line beside the load would cost
-    the caller's side more than the load does, and a full pipe would stall the process.
+    Its output goes to a file. Reading a pipe line by line while the load runs would
+    cost the load generator more than the load itself, and a full pipe would block the
+    process.
 
     Args:
         arguments: Arguments of the Python interpreter.
@@ -77,11 +78,11 @@
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """Id of the process."""
         return self._popen.pid
 
-    def lines(self) -> list[dict[str, Any]]:
-        """Every whole line of its output that is a JSON object."""
+    def log_entries(self) -> list[dict[str, Any]]:
+        """Return the lines of its output so far that are JSON objects."""
         parsed = []
         for line in self._output.read_bytes().splitlines():
             try:
@@ -91,38 +92,40 @@
         return parsed
 
     def wait_listening(self) -> None:
-        """Wait until the process says where it listens."""
+        """Wait until the process has logged its ports, and store them."""
         wait_for(self._is_listening, "a process to listen")
 
     def _is_listening(self) -> bool:
-        events = [line for line in self.lines() if line.get("event") == "listening"]
+        events = [
+            line for line in self.log_entries() if line.get("event") == "listening"
+        ]
         if events:
             self.ports = events[-1]
         return bool(events)
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self._popen.send_signal(number)
 
     def stop(self) -> int:
-        """Ask the process to stop; returns its exit status."""
+        """Terminate the process gracefully and return its exit status."""
         if self._popen.poll() is None:
             self._popen.terminate()
-        return self._popen.wait(timeout=STOP_LIMIT)
+        return self._popen.wait(timeout=STOP_TIMEOUT_S)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process, also if it is paused."""
         if self._popen.poll() is None:
             self._popen.send_signal(signal.SIGCONT)
             self._popen.kill()
-        self._popen.wait(timeout=STOP_LIMIT)
+        self._popen.wait(timeout=STOP_TIMEOUT_S)
 
 
 class Fleet:
-    """A running deployment; a context manager that ends what it started.
+    """A running deployment; as a context manager it kills its processes on exit.
 
     Args:
-        spec: What it is like.
+        spec: Configuration of the deployment.
     """
 
     def __init__(self, spec: FleetSpec) -> None:
@@ -137,9 +140,9 @@
         self.daemons: dict[str, Process] = {}
         self._zone_of_daemon: dict[str, str] = {}
         self._directory = tempfile.TemporaryDirectory()
-        self._others: list[Process] = []
+        self._standins: list[Process] = []
         self._relay_ports: dict[str, int] = {}
-        self._spawned = 0
+        self._spawn_count = 0
 
     def __enter__(self) -> "Fleet":
         try:
@@ -150,13 +153,13 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        for process in [*self.daemons.values(), *self._others]:
+        for process in [*self.daemons.values(), *self._standins]:
             process.kill()
         self._directory.cleanup()
 
     def _start(self) -> None:
         platform = self._spawn_standin({"list_lag": self.spec.list_lag})
-        by_zone = {zone: self._zone_targets(zone) for zone in self.spec.zones}
+        by_zone = {zone: self._target_specs_in(zone) for zone in self.spec.zones}
         processes = {
             zone: self._spawn_standin({"targets": specs})
             for zone, specs in by_zone.items()
@@ -189,13 +192,14 @@
         self._relay_ports = process.ports
 
     def control_relay(self, name: str, **changes: Any) -> None:
-        """Cut, mend or silence what comes to a daemon from its peers."""
+        """Cut, restore or silence the traffic that peers send to a daemon."""
         post(self._relay_ports["control"], "/", {"name": name, **changes})
 
-    def cut_off(self, name: str, *, cut: bool) -> None:
-        """Cut a daemon off from its peers, or mend it.
+    def partition_daemon(self, name: str, *, cut: bool) -> None:
+        """Partition a daemon from its peers, or reconnect it.
 
-        Calls that it makes to peers by itself are not told apart and still pass.
+        Relays recognise the datagrams of a daemon by their port. Its outgoing calls
+        can't be recognised and still pass.
         """
         port = int(self.daemons[name].ports["peers"].rpartition(":")[2])
         self.control_relay(name, cut=cut)
@@ -209,28 +213,28 @@
         return self.daemons[name].ports["peers"]
 
     def start_daemon(self, name: str, zone: str) -> Process:
-        """Start one daemon, in place of an earlier one of the same name."""
+        """Start a daemon, in place of an earlier one of the same name."""
         path = Path(self._directory.name) / f"{name}.ini"
-        path.write_text(self._settings(name, zone))
+        path.write_text(self._render_settings(name, zone))
         process = self._spawn(["bergamotsaddle_daemon", str(path)])
         self.daemons[name] = process
         self._zone_of_daemon[name] = zone
         return process
 
     def wait_ready(self) -> None:
-        """Wait until every daemon is ready and sees every target of its own as warm."""
+        """Wait until every daemon is ready and regards all its targets as warm."""
         wait_for(self._all_ready, "every daemon to be ready")
 
-    def callers(self, name: str) -> str:
-        """Address of a daemon's interface for callers."""
+    def caller_address(self, name: str) -> str:
+        """Return the address of a daemon's interface for callers."""
         return self.daemons[name].ports["callers"]
 
-    def operators(self, name: str) -> str:
-        """Address of a daemon's interface for operators."""
+    def operator_address(self, name: str) -> str:
+        """Return the address of a daemon's interface for operators."""
         return self.daemons[name].ports["operators"]
 
-    def declaration(self) -> str:
-        """The declaration's text at the current revision."""
+    def declaration_text(self) -> str:
+        """Return the text of the declaration at the current revision."""
         parts = ["[declaration]", "name = loopback", f"revision = {self.revision}"]
         for zone, state in self.zone_states.items():
             parts += [f"[zone {zone}]", f"state = {state}"]
@@ -238,7 +242,7 @@
             digest = digest_key(self.keys[team])
             parts += [f"[team {team}]", f"share = {share}", f"key_digests = {digest}"]
         for target_id, (spec, zone) in self.target_specs.items():
-            parts += self._declare_target(target_id, spec, zone)
+            parts += self._render_target(target_id, spec, zone)
         kinds = {spec.kind for spec, _ in self.target_specs.values()}
         order = ("encode", "retrieve", "rerank", "generate")
         stages = ", ".join(stage for stage in order if stage in kinds)
@@ -249,9 +253,9 @@
         return "\n".join(parts) + "\n"
 
     def publish_declaration(self, revision: int | None = None) -> None:
-        """Publish the declaration as the platform's operators would."""
+        """Publish the declaration, by default as the next revision."""
         self.revision = revision or self.revision + 1
-        self.control("config", publish=self.declaration())
+        self.control("config", publish=self.declaration_text())
 
     def publish_instances(self) -> None:
         """Publish the instance list."""
@@ -280,54 +284,54 @@
         self.control("instances", publish=msgspec.json.encode(payload).decode())
 
     def control(self, service: str, **changes: Any) -> dict[str, Any]:
-        """Change something at a platform stand-in; returns its counts."""
+        """Change the state of a platform stand-in and return its counters."""
         return post(self.platform[service], "/control", changes)
 
     def control_target(self, target_id: str, **changes: Any) -> None:
-        """Have something go wrong at a target, or end it."""
+        """Set or clear faults of a target."""
         post(self.target_ports[target_id], "/control", changes)
 
-    def ledger(self, target_id: str) -> dict[str, Any]:
-        """What a target really did."""
+    def read_ledger(self, target_id: str) -> dict[str, Any]:
+        """Return the ledger of what a target did."""
         return get(f"127.0.0.1:{self.target_ports[target_id]}", "/ledger")
 
-    def loaded(self, target_id: str) -> list[str]:
-        """Models that a target holds."""
+    def read_loaded_models(self, target_id: str) -> list[str]:
+        """Return the models that a target has loaded."""
         return get(f"127.0.0.1:{self.target_ports[target_id]}", "/v1/load")["models"]
 
-    def status(self, name: str) -> dict[str, Any]:
-        """Status page of a daemon."""
-        return get(self.operators(name), "/status")
+    def read_status(self, name: str) -> dict[str, Any]:
+        """Return the status page of a daemon."""
+        return get(self.operator_address(name), "/status")
 
     def _all_ready(self) -> bool:
         for name in self.daemons:
-            status = self.status(name)
+            status = self.read_status(name)
             if not status["ready"] or status["revision"] != self.revision:
                 return False
-            if any(row["state"] == "cold" for row in self._targets(name)):
+            if any(row["state"] == "cold" for row in self._read_targets(name)):
                 return False
         return True
 
-    def _targets(self, name: str) -> list[dict[str, Any]]:
-        return get(self.operators(name), "/targets")
+    def _read_targets(self, name: str) -> list[dict[str, Any]]:
+        return get(self.operator_address(name), "/targets")
 
-    def _zone_targets(self, zone: str) -> list[TargetSpec]:
+    def _target_specs_in(self, zone: str) -> list[TargetSpec]:
         return [
             spec._replace(id=spec.id.format(zone=zone)) for spec in self.spec.targets
         ]
 
-    def _spawn_standin(self, work: dict[str, Any]) -> Process:
-        text = msgspec.json.encode(work).decode()
+    def _spawn_standin(self, spec: dict[str, Any]) -> Process:
+        text = msgspec.json.encode(spec).decode()
         process = self._spawn(["bergamotsaddle_standins.process", text])
-        self._others.append(process)
+        self._standins.append(process)
         return process
 
     def _spawn(self, module_and_argument: list[str]) -> Process:
-        self._spawned += 1
-        output = Path(self._directory.name) / f"output-{self._spawned}"
+        self._spawn_count += 1
+        output = Path(self._directory.name) / f"output-{self._spawn_count}"
         return Process(["-W", "ignore", "-m", *module_and_argument], output)
 
-    def _settings(self, name: str, zone: str) -> str:
+    def _render_settings(self, name: str, zone: str) -> str:
         lines = ["[daemon]", f"id = {name}", f"zone = {zone}"]
         lines += [f"peer_key = {_PEER_KEY}", "[platform]"]
         lines += [f"config_address = 127.0.0.1:{self.platform['config']}"]
@@ -336,7 +340,7 @@
         lines += ["[policies]", *(f"{k} = {v}" for k, v in self.spec.policies.items())]
         return "\n".join(lines) + "\n"
 
-    def _declare_target(self, target_id: str, spec: TargetSpec, zone: str) -> list[str]:
+    def _render_target(self, target_id: str, spec: TargetSpec, zone: str) -> list[str]:
         lines = [f"[target {target_id}]", f"zone = {zone}", f"kind = {spec.kind}"]
         lines += [f"address = 127.0.0.1:{self.target_ports[target_id]}"]
         lines += [f"limit = {spec.slots}", f"cold_limit = {spec.cold_limit}"]
@@ -349,11 +353,13 @@
         return lines
 
 
-def wait_for(condition: Any, what: str, limit: float = START_LIMIT) -> float:
-    """Wait until a condition holds; returns the seconds it took.
+def wait_for(condition: Any, what: str, limit: float = START_TIMEOUT_S) -> float:
+    """Wait until a condition holds and return the seconds that took.
+
+    Failing connections count as the condition not holding yet.
 
     Raises:
-        TimeoutError: If it does not hold in time.
+        TimeoutError: If the condition does not hold in time.
     """
     began = now()
     while now() - began < limit:
@@ -362,12 +368,16 @@
                 return now() - began
         except (urllib3.exceptions.HTTPError, OSError):
             pass
-        eventlet.sleep(_STEP)
+        eventlet.sleep(_POLL_S)
     raise TimeoutError(f"waited {limit} s for {what}")
 
 
 def post(port: int, path: str, body: Any) -> Any:
-    """Post JSON to a stand-in on loopback."""
+    """Post JSON to a stand-in on loopback and return the decoded response.
+
+    Raises:
+        OSError: If the status is not 200.
+    """
     url = f"http://127.0.0.1:{port}{path}"
     reply = _http.request("POST", url, body=msgspec.json.encode(body), timeout=5.0)
     if reply.status != 200:
@@ -376,6 +386,6 @@
 
 
 def get(address: str, path: str) -> Any:
-    """Get JSON from an address."""
+    """Get JSON from an address and return it decoded."""
     reply = _http.request("GET", f"http://{address}{path}", timeout=5.0)
     return msgspec.json.decode(reply.data)
--- a/packages/standins/bergamotsaddle_standins/load.py
+++ b/packages/standins/bergamotsaddle_standins/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: arrivals that don't wait for answers, from a seed."""
+"""Seeded open-loop load: requests arrive without waiting for earlier responses."""
 
 import random
 from typing import NamedTuple
@@ -12,19 +12,19 @@
 
 _LOWEST_MS = 1
 _HIGHEST_MS = 60_000
-_DIGITS = 2
-_DRAIN = 10.0
+_SIGNIFICANT_DIGITS = 2
+_DRAIN_S = 10.0
 
 
 class LoadSpec(NamedTuple):
-    """A load.
+    """Parameters of a load.
 
     Attributes:
-        rates: Requests a second of each team.
-        seconds: How long requests arrive.
-        deadline: Seconds that each request has.
-        tokens: Tokens of each answer.
-        prefixes: Number of different prompt starts.
+        rates: Requests per second of each team.
+        seconds: Seconds for which requests arrive.
+        deadline: Deadline of each request in seconds.
+        tokens: Tokens of each response.
+        prefixes: Number of distinct prompt prefixes.
     """
 
     rates: dict[str, float]
@@ -35,15 +35,16 @@
 
 
 class TeamResult(NamedTuple):
-    """What one team got.
+    """Results of one team.
 
     Attributes:
         requests: Requests that arrived.
-        in_time: Answered whole within the deadline.
-        p50_ms: Median latency of whole answers.
-        p95_ms: Latency that 95 in 100 whole answers stayed under.
-        first_p95_ms: The same of refusals, from arrival to final answer.
-        refusals: Other ends by kind.
+        in_time: Requests with a complete response within the deadline.
+        p50_ms: Median latency of complete responses.
+        p95_ms: Latency that 95 in 100 complete responses did not exceed.
+        refused_p95_ms: 95th percentile of the time from arrival to an incomplete
+            or error response.
+        refusals: Number of all other outcomes by kind.
     """
 
     requests: int
@@ -55,50 +56,50 @@
 
     @property
     def attainment(self) -> float:
-        """Part of the requests that were answered whole in time."""
+        """Fraction of the requests with a complete response within the deadline."""
         return self.in_time / max(1, self.requests)
 
 
-class _Team:
+class _TeamCounts:
     def __init__(self) -> None:
         self.requests = 0
         self.in_time = 0
-        self.latencies = HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _DIGITS)
-        self.refusals_ms = HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _DIGITS)
+        self.latencies = HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _SIGNIFICANT_DIGITS)
+        self.refusals_ms = HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _SIGNIFICANT_DIGITS)
         self.refusals: dict[str, int] = {}
 
 
 class Load:
-    """Drives one load against a fleet.
+    """Generates a load against a fleet.
 
     Args:
         fleet: The deployment.
         spec: The load.
-        seed: Seed of arrivals and choices.
+        seed: Seed of the random arrivals and choices.
     """
 
     def __init__(self, fleet: Fleet, spec: LoadSpec, seed: int) -> None:
         self._fleet = fleet
         self._spec = spec
         self._random = random.Random(seed)
-        self._by_team = {team: _Team() for team in spec.rates}
+        self._by_team = {team: _TeamCounts() for team in spec.rates}
         self._open = 0
 
     def run(self) -> dict[str, TeamResult]:
-        """Send the load and wait for the last answer."""
+        """Send all requests, wait for the last response and return results by team."""
         threads = [
-            eventlet.spawn(self._arrive, team, rate)
+            eventlet.spawn(self._generate_arrivals, team, rate)
             for team, rate in self._spec.rates.items()
             if rate > 0
         ]
         for thread in threads:
             thread.wait()
-        until = now() + _DRAIN
+        until = now() + _DRAIN_S
         while self._open and now() < until:
             eventlet.sleep(0.02)
         return {team: self._result(counts) for team, counts in self._by_team.items()}
 
-    def _arrive(self, team: str, rate: float) -> None:
+    def _generate_arrivals(self, team: str, rate: float) -> None:
         end = now() + self._spec.seconds
         at = now()
         while True:
@@ -107,14 +108,16 @@
                 return
             eventlet.sleep(max(0.0, at - now()))
             self._open += 1
-            eventlet.spawn_n(self._ask, team)
+            eventlet.spawn_n(self._send_request, team)
 
-    def _ask(self, team: str) -> None:
+    def _send_request(self, team: str) -> None:
         spec, counts = self._spec, self._by_team[team]
         counts.requests += 1
         name = self._random.choice(list(self._fleet.daemons))
         caller = Caller(
-            self._fleet.callers(name), self._fleet.keys[team], limit=4 * spec.deadline
+            self._fleet.caller_address(name),
+            self._fleet.keys[team],
+            limit=4 * spec.deadline,
         )
         site = self._random.randrange(spec.prefixes)
         body = {
@@ -124,13 +127,13 @@
         }
         began = now()
         headers = {"X-Deadline": f"{int(spec.deadline * 1000)}ms"}
-        reply = caller.ask(f"/v1/pipelines/{PIPELINE}", body, headers=headers)
-        self._note(counts, reply, now() - began)
+        reply = caller.post(f"/v1/pipelines/{PIPELINE}", body, headers=headers)
+        self._record_reply(counts, reply, now() - began)
         self._open -= 1
 
-    def _note(self, counts: _Team, reply: Reply, seconds: float) -> None:
+    def _record_reply(self, counts: _TeamCounts, reply: Reply, seconds: float) -> None:
         milliseconds = max(_LOWEST_MS, round(seconds * 1000))
-        if reply.whole:
+        if reply.is_complete:
             counts.latencies.record_value(milliseconds)
             in_time = seconds <= self._spec.deadline
             counts.in_time += in_time
@@ -139,10 +142,10 @@
         else:
             counts.refusals_ms.record_value(milliseconds)
         body = reply.body if isinstance(reply.body, dict) else {}
-        kind = "late" if reply.whole else body.get("kind", "no answer")
+        kind = "late" if reply.is_complete else body.get("kind", "no answer")
         counts.refusals[kind] = counts.refusals.get(kind, 0) + 1
 
-    def _result(self, counts: _Team) -> TeamResult:
+    def _result(self, counts: _TeamCounts) -> TeamResult:
         return TeamResult(
             counts.requests,
             counts.in_time,
@@ -153,11 +156,11 @@
         )
 
 
-def calls_a_stage(fleet: Fleet) -> float:
-    """Calls to targets for each stage of each request, 1.0 without extra ones."""
+def calls_per_stage(fleet: Fleet) -> float:
+    """Return calls to targets per stage of a request; 1.0 without extra calls."""
     first = extra = 0
     for name in fleet.daemons:
-        for row in get(fleet.operators(name), "/costs"):
+        for row in get(fleet.operator_address(name), "/costs"):
             first += row["calls"]
             extra += row["extra_calls"]
     return (first + extra) / max(1, first)
--- a/packages/standins/bergamotsaddle_standins/meeting.py
+++ b/packages/standins/bergamotsaddle_standins/meeting.py
@@ -1,8 +1,9 @@
-"""Measures how fast a restarted fleet knows itself (``make meeting``).
+"""Measures how fast the instances of a restarted fleet discover each other.
 
-All instances start within 0.3 s and know three seeds. They are objects of one process
-on a virtual clock, joined by trips of 2 ms; which peers are greeted is drawn from a
-seed. Datagrams of one moment arrive in any order, so sizes vary a little between calls.
+Run by ``make meeting``. All instances start within 0.3 s and know three seeds. They
+are objects of one process on a virtual clock with a network latency of 2 ms. The peers
+that get a heartbeat are drawn from a fixed seed. Datagrams due at the same time arrive
+in any order, so sizes vary a little between calls.
 """
 
 import bergamotsaddle_daemon._green  # noqa: F401
@@ -23,27 +24,29 @@
 _SERVICES = ("encode", "retrieve", "rerank")
 
 
-class Meeting(NamedTuple):
-    """How a fleet met.
+class Discovery(NamedTuple):
+    """Time and traffic that a fleet needed for peer discovery.
 
     Attributes:
-        agreed: Seconds from the last start until all agree on all owners.
-        known: Seconds until all know all others.
-        datagrams: Datagrams that an instance sent until then, on average.
-        kilobytes: Their size.
+        agreed_seconds: Seconds from the last start until all instances agree on the
+            owner of every service.
+        known_seconds: Seconds from the last start until each instance knows all
+            others.
+        datagrams: Average number of datagrams sent per instance until then.
+        kilobytes: Average size of those datagrams in kB per instance.
     """
 
-    agreed: float
-    known: float
+    agreed_seconds: float
+    known_seconds: float
     datagrams: float
     kilobytes: float
 
 
-def meet(size: int) -> Meeting:
-    """Start a fleet and wait until all its instances know each other.
+def measure_discovery(size: int) -> Discovery:
+    """Start a fleet and advance the clock until all instances know each other.
 
     Raises:
-        RuntimeError: If they do not within the limit.
+        RuntimeError: If that takes longer than the limit.
     """
     use_paused_clock()
     random.seed(_SEED)
@@ -54,7 +57,9 @@
     agreed = None
     while fleet.min_known_peers() < size - 1:
         if passed >= _LIMIT_S:
-            raise RuntimeError(f"{size} instances have not met within {_LIMIT_S:.0f} s")
+            raise RuntimeError(
+                f"{size} instances did not discover each other within {_LIMIT_S:.0f} s"
+            )
         advance(_STEP_S)
         passed += _STEP_S
         is_agreed = all(len(fleet.owners(service)) == 1 for service in _SERVICES)
@@ -64,14 +69,14 @@
             agreed = passed
     datagrams = sum(peers.sent for peers in fleet) / size
     kilobytes = sum(peers.bytes_sent for peers in fleet) / size / 1_000
-    return Meeting(passed if agreed is None else agreed, passed, datagrams, kilobytes)
+    return Discovery(passed if agreed is None else agreed, passed, datagrams, kilobytes)
 
 
 def _parse_size(word: str) -> int:
-    """Turn a word into a number of instances.
+    """Parse a number of instances.
 
     Raises:
-        ValueError: If it is none.
+        ValueError: If the word is not a positive integer.
     """
     if not word.isdigit() or not int(word):
         raise ValueError(f"expected a number of instances from 1 on, not {word!r}")
@@ -79,7 +84,7 @@
 
 
 def main() -> int:
-    """Print a row for each size; the sizes are the arguments."""
+    """Print a row for each fleet size given as an argument, or the default sizes."""
     try:
         sizes = [_parse_size(word) for word in sys.argv[1:]] or list(_SIZES)
     except ValueError as error:
@@ -87,10 +92,10 @@
         return 2
     sys.stdout.write("instances  agreed s  known s  datagrams  KB an instance\n")
     for size in sizes:
-        row = meet(size)
+        row = measure_discovery(size)
         sys.stdout.write(
-            f"{size:9}  {row.agreed:8.1f}  {row.known:7.1f}  {row.datagrams:9.0f}"
-            f"  {row.kilobytes:14.1f}\n"
+            f"{size:9}  {row.agreed_seconds:8.1f}  {row.known_seconds:7.1f}"
+            f"  {row.datagrams:9.0f}  {row.kilobytes:14.1f}\n"
         )
         sys.stdout.flush()
     return 0
--- a/packages/standins/bergamotsaddle_standins/process.py
+++ b/packages/standins/bergamotsaddle_standins/process.py
@@ -1,4 +1,4 @@
-"""Starts one stand-in process: ``python -m bergamotsaddle_standins.process``."""
+"""Runs one stand-in process: ``python -m bergamotsaddle_standins.process``."""
 
 import bergamotsaddle_standins._green  # noqa: F401
 
@@ -12,11 +12,12 @@
 from bergamotsaddle_standins.targets import TargetSpec
 
 
-class Work(msgspec.Struct):
-    """What the process is to be; exactly one of these.
+class ProcessSpec(msgspec.Struct):
+    """What the process runs; exactly one of the fields is given.
 
     Attributes:
-        list_lag: Lag in seconds of an instance list, beside a configuration service.
+        list_lag: Lag of the instance list in seconds, for a process that runs the
+            platform services.
         targets: Targets to serve.
         relays: Relays to run.
     """
@@ -27,13 +28,13 @@
 
 
 def main() -> None:
-    """Read the work from the only argument and do it."""
-    work = msgspec.json.decode(sys.argv[1], type=Work)
-    if work.targets:
-        targets.main(work.targets)
-    if work.relays:
-        relay.main(work.relays)
-    platform.main(work.list_lag or 0.0)
+    """Decode the specification from the only argument and run it."""
+    spec = msgspec.json.decode(sys.argv[1], type=ProcessSpec)
+    if spec.targets:
+        targets.main(spec.targets)
+    if spec.relays:
+        relay.main(spec.relays)
+    platform.main(spec.list_lag or 0.0)
 
 
 if __name__ == "__main__":
--- a/packages/standins/bergamotsaddle_standins/relay.py
+++ b/packages/standins/bergamotsaddle_standins/relay.py
@@ -1,4 +1,4 @@
-"""A relay before an instance's peer address, which can be cut or go silent."""
+"""A relay in front of an instance's peer address that can drop its traffic."""
 
 import contextlib
 from typing import Any
@@ -7,18 +7,24 @@
 import msgspec
 from eventlet.green import socket
 
-from bergamotsaddle_standins._web import Environ, announce, answer, read_json, serve
+from bergamotsaddle_standins._web import (
+    Environ,
+    announce_ports,
+    read_json,
+    respond_json,
+    serve,
+)
 
 _READ_BYTES = 65_536
-_KEPT_SECONDS = 60.0
+_SLEEP_S = 60.0
 _HOST = "127.0.0.1"
 
 
 class RelaySpec(msgspec.Struct):
-    """Where a relay forwards to.
+    """Name and destination of a relay.
 
     Attributes:
-        name: Name of the instance behind it.
+        name: Name of the instance behind the relay.
         address: ``IP:port`` of the instance, TCP and UDP alike.
     """
 
@@ -30,12 +36,16 @@
     """Forwards TCP connections and UDP datagrams to one instance.
 
     Args:
-        spec: Where to.
+        spec: Name and address of the instance.
+
+    Attributes:
+        is_cut: Whether the relay drops all traffic and closes new connections.
+        dropped_ports: Sender ports whose datagrams are dropped.
     """
 
     def __init__(self, spec: RelaySpec) -> None:
         host, _, port = spec.address.rpartition(":")
-        self._to = (host, int(port))
+        self._destination = (host, int(port))
         self._listener = eventlet.listen((_HOST, 0))
         self.port = self._listener.getsockname()[1]
         self._datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -45,10 +55,10 @@
         self.is_cut = False
         self.dropped_ports: set[int] = set()
         eventlet.spawn_n(self._accept)
-        eventlet.spawn_n(self._relay_datagrams)
+        eventlet.spawn_n(self._forward_datagrams)
 
     def silence(self) -> None:
-        """Forget every open connection without closing it; new ones work."""
+        """Drop the data of all open connections without closing them; new ones work."""
         self._silenced = set(range(self._connections + 1))
 
     def _accept(self) -> None:
@@ -59,49 +69,49 @@
                 continue
             self._connections += 1
             try:
-                server = eventlet.connect(self._to)
+                server = eventlet.connect(self._destination)
             except OSError:
                 client.close()
                 continue
             for one, other in ((client, server), (server, client)):
-                eventlet.spawn_n(self._pump, self._connections, one, other)
+                eventlet.spawn_n(self._forward_stream, self._connections, one, other)
 
-    def _pump(self, number: int, one: Any, other: Any) -> None:
+    def _forward_stream(self, number: int, one: Any, other: Any) -> None:
         with contextlib.suppress(OSError):
             while data := one.recv(_READ_BYTES):
                 if not self.is_cut and number not in self._silenced:
                     other.sendall(data)
-        # Closing instead would throw in the green thread that reads the other way.
+        # Closing would raise in the green thread that reads in the other direction.
         with contextlib.suppress(OSError):
             other.shutdown(socket.SHUT_RDWR)
 
-    def _relay_datagrams(self) -> None:
+    def _forward_datagrams(self) -> None:
         while True:
             data, sender = self._datagrams.recvfrom(_READ_BYTES)
             if not self.is_cut and sender[1] not in self.dropped_ports:
-                self._datagrams.sendto(data, self._to)
+                self._datagrams.sendto(data, self._destination)
 
 
-class _Control:
-    """Changes relays by name."""
+class _ControlApp:
+    """WSGI application that changes relays by name."""
 
     def __init__(self, relays: dict[str, Relay]) -> None:
         self._relays = relays
 
     def __call__(self, environ: Environ, start_response: Any) -> list[bytes]:
-        wanted = read_json(environ)
-        relay = self._relays[wanted["name"]]
-        relay.is_cut = wanted.get("cut", relay.is_cut)
-        relay.dropped_ports = set(wanted.get("drop", relay.dropped_ports))
-        if wanted.get("silence"):
+        changes = read_json(environ)
+        relay = self._relays[changes["name"]]
+        relay.is_cut = changes.get("cut", relay.is_cut)
+        relay.dropped_ports = set(changes.get("drop", relay.dropped_ports))
+        if changes.get("silence"):
             relay.silence()
-        return answer(start_response, {})
+        return respond_json(start_response, {})
 
 
 def main(specs: list[RelaySpec]) -> None:
-    """Run some relays in this process until it is ended."""
+    """Run some relays in this process until it is killed."""
     relays = {spec.name: Relay(spec) for spec in specs}
     ports = {name: relay.port for name, relay in relays.items()}
-    announce(control=serve(_Control(relays)), **ports)
+    announce_ports(control=serve(_ControlApp(relays)), **ports)
     while True:
-        eventlet.sleep(_KEPT_SECONDS)
+        eventlet.sleep(_SLEEP_S)
--- a/packages/standins/bergamotsaddle_standins/targets.py
+++ b/packages/standins/bergamotsaddle_standins/targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins for targets: stage workers, an engine that streams, plain services."""
+"""Stand-ins for targets: stage workers, streaming engines and plain services."""
 
 import hashlib
 import random
@@ -11,26 +11,32 @@
 from eventlet import hubs
 from eventlet.semaphore import Semaphore
 
-from bergamotsaddle_standins._web import Environ, announce, answer, read_json, serve
+from bergamotsaddle_standins._web import (
+    Environ,
+    announce_ports,
+    read_json,
+    respond_json,
+    serve,
+)
 
-_KEPT_SECONDS = 60.0
+_SLEEP_S = 60.0
 _COLD_SLOWDOWN = 4.0
-_LOAD_SECONDS = 0.5
+_MODEL_LOAD_S = 0.5
 _VOCABULARY = ("feed", "pen", "tide", "pellet", "barge", "dawn", "net", "salmon")
 
 
 class TargetSpec(NamedTuple):
-    """What a stand-in is like.
+    """Configuration of a stand-in target.
 
     Attributes:
         id: The target's id.
         kind: The stage or service it serves.
-        slots: Calls it works on at once; more wait.
-        seconds: Time of one call, or of the first token of an engine.
+        slots: Calls it runs at the same time; further calls wait.
+        seconds: Duration of a call, or time to the first token of an engine.
         token_seconds: Time between two tokens.
-        cold_limit: Calls it bears in cold start.
-        models: Models it may hold; empty for none or one that is always there.
-        holds: How many of them it holds at once; the first ones at the start.
+        cold_limit: Concurrent calls it runs at normal speed while cold.
+        models: Models it may load; empty for none or one that is always loaded.
+        holds: How many of them fit at once; the first ones are loaded at the start.
     """
 
     id: str
@@ -44,22 +50,22 @@
 
 
 def make_token(prompt: str, index: int) -> str:
-    """The token that every engine generates for a prompt at an index."""
+    """Return the token that every engine generates for a prompt at an index."""
     digest = hashlib.blake2b(f"{index} {prompt}".encode(), digest_size=2).digest()
     return f"{_VOCABULARY[digest[0] % len(_VOCABULARY)]}-{digest[1]} "
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at a stand-in; set through ``/control``.
+    """Faults of a stand-in, set through ``/control``.
 
     Attributes:
-        cold: In cold start.
-        slow: Factor on every time.
-        fail: Part of the calls that fail with status 500.
-        crossed: Part of the answers that name another request.
-        silent: Whether calls are taken and never answered.
+        cold: Whether the target is in cold start.
+        slow: Factor by which everything takes longer.
+        fail: Fraction of the calls that fail with status 500.
+        crossed: Fraction of the responses that name another request.
+        silent: Whether calls are accepted and never answered.
         cut_after: Tokens after which a stream is cut, or 0 for none.
-        lose_answers: Part of the orders that are taken and never answered.
+        lose_answers: Fraction of the orders that are accepted and never answered.
         repeat: Tokens that a resumed stream repeats.
     """
 
@@ -74,17 +80,16 @@
 
 
 class Ledger(msgspec.Struct):
-    """What a stand-in really did.
+    """Record of what a stand-in did.
 
     Attributes:
-        calls: Calls that arrived.
-        runs_by_request: How many calls arrived for each request.
-        marks: The mark of each order taken, in order; nothing is left out for
-            being a repetition.
-        tokens_by_request: Bytes of tokens sent for each request.
-        most_in_flight: Most calls at once.
-        most_cold: Most calls at once that arrived in cold start.
-        last_call_at: Seconds on the clock of the last new call.
+        calls: Number of calls received.
+        runs_by_request: Number of calls received for each request.
+        marks: Marks of all accepted orders in order, repeated ones included.
+        tokens_by_request: Characters of tokens sent for each request.
+        most_in_flight: Highest number of concurrent calls.
+        most_cold: Highest number of concurrent calls in cold start.
+        last_call_at: Time of the last new call, on the hub's clock.
     """
 
     calls: int = 0
@@ -97,10 +102,13 @@
 
 
 class TargetApp:
-    """One target.
+    """WSGI application of one target.
 
     Args:
-        spec: What it is like.
+        spec: Configuration of the target.
+
+    Attributes:
+        fencing: Highest fencing number among the orders followed so far.
     """
 
     def __init__(self, spec: TargetSpec) -> None:
@@ -108,7 +116,7 @@
         self.faults = Faults()
         self.ledger = Ledger()
         self.in_flight = 0
-        self.loaded = list(spec.models[: spec.holds])
+        self.loaded_models = list(spec.models[: spec.holds])
         self.fencing = 0
         self._slots = Semaphore(spec.slots)
 
@@ -121,62 +129,66 @@
                 self.ledger.most_cold = 0
             for name, value in changes.items():
                 setattr(self.faults, name, value)
-            return answer(start_response, {})
+            return respond_json(start_response, {})
         if path == "/ledger":
-            return answer(start_response, self.ledger)
+            return respond_json(start_response, self.ledger)
         if path == "/v1/load":
-            return answer(start_response, self._load())
+            return respond_json(start_response, self._make_load_report())
         if path == "/v1/orders":
-            return self._obey(environ, start_response)
-        return self._work(environ, start_response, path)
+            return self._handle_order(environ, start_response)
+        return self._serve_call(environ, start_response, path)
 
-    def _load(self) -> dict[str, Any]:
+    def _make_load_report(self) -> dict[str, Any]:
         return {
             "target": self.spec.id,
             "cold": self.faults.cold,
             "in_flight": self.in_flight,
             "age": 0.0,
-            "models": self.loaded if self.spec.models else None,
+            "models": self.loaded_models if self.spec.models else None,
         }
 
-    def _obey(self, environ: Environ, start_response: Callable) -> list[bytes]:
-        """Load or unload a model, unless the order is older than one obeyed."""
+    def _handle_order(self, environ: Environ, start_response: Callable) -> list[bytes]:
+        """Load or unload a model; reject an order with an outdated fencing number."""
         order = read_json(environ)
-        names = self._names(environ)
+        headers = self._echo_headers(environ)
         if order["fencing"] < self.fencing:
-            return answer(start_response, {}, status="409 Conflict", headers=names)
+            return respond_json(
+                start_response, {}, status="409 Conflict", headers=headers
+            )
         self.fencing = order["fencing"]
-        eventlet.spawn_n(self._carry_out, order["action"], order["model"])
-        return answer(start_response, {}, headers=names)
+        eventlet.spawn_n(self._apply_order, order["action"], order["model"])
+        return respond_json(start_response, {}, headers=headers)
 
-    def _carry_out(self, action: str, model: str) -> None:
+    def _apply_order(self, action: str, model: str) -> None:
         if action == "load":
-            eventlet.sleep(_LOAD_SECONDS)
-            self.loaded.append(model)
-        elif model in self.loaded:
-            self.loaded.remove(model)
+            eventlet.sleep(_MODEL_LOAD_S)
+            self.loaded_models.append(model)
+        elif model in self.loaded_models:
+            self.loaded_models.remove(model)
 
-    def _work(
+    def _serve_call(
         self, environ: Environ, start_response: Callable, path: str
     ) -> Iterable[bytes]:
         body = read_json(environ)
-        self._note_arrival(environ)
+        self._record_arrival(environ)
         try:
             if self.faults.silent:
-                eventlet.sleep(_KEPT_SECONDS)
+                eventlet.sleep(_SLEEP_S)
             if random.random() < self.faults.fail:
-                return answer(start_response, {}, status="500 Internal Server Error")
+                return respond_json(
+                    start_response, {}, status="500 Internal Server Error"
+                )
             if path == "/v1/completions":
                 stream = self._stream(environ, start_response, body)
                 self.in_flight += 1
                 return stream
             with self._slots:
-                eventlet.sleep(self._time(self.spec.seconds))
-                return self._finish(environ, start_response, body, path)
+                eventlet.sleep(self._scale_seconds(self.spec.seconds))
+                return self._respond(environ, start_response, body, path)
         finally:
             self.in_flight -= 1
 
-    def _note_arrival(self, environ: Environ) -> None:
+    def _record_arrival(self, environ: Environ) -> None:
         ledger = self.ledger
         ledger.runs_by_request[environ.get("HTTP_X_REQUEST_ID", "")] += 1
         self.in_flight += 1
@@ -186,12 +198,12 @@
         if self.faults.cold:
             ledger.most_cold = max(ledger.most_cold, self.in_flight)
 
-    def _time(self, seconds: float) -> float:
+    def _scale_seconds(self, seconds: float) -> float:
         if self.faults.cold and self.in_flight > self.spec.cold_limit:
             seconds *= _COLD_SLOWDOWN * self.in_flight
         return seconds * self.faults.slow
 
-    def _names(self, environ: Environ) -> tuple[tuple[str, str], ...]:
+    def _echo_headers(self, environ: Environ) -> tuple[tuple[str, str], ...]:
         request = environ.get("HTTP_X_REQUEST_ID", "")
         if random.random() < self.faults.crossed:
             request = "somebody-elses"
@@ -200,7 +212,7 @@
             ("X-Stage", environ.get("HTTP_X_STAGE", "")),
         )
 
-    def _finish(
+    def _respond(
         self, environ: Environ, start_response: Callable, body: Any, path: str
     ) -> list[bytes]:
         if path.startswith("/v1/stages/"):
@@ -211,7 +223,9 @@
                 raise ConnectionAbortedError("lost by the test")
         else:
             payload = {"item": body.get("item", ""), "tonnes": 12}
-        return answer(start_response, payload, headers=self._names(environ))
+        return respond_json(
+            start_response, payload, headers=self._echo_headers(environ)
+        )
 
     def _book(self, body: Any) -> dict[str, Any]:
         number = len(self.ledger.marks) + 1
@@ -221,17 +235,17 @@
     def _stream(
         self, environ: Environ, start_response: Callable, body: Any
     ) -> Iterator[bytes]:
-        headers = [("Content-Type", "text/event-stream"), *self._names(environ)]
+        headers = [("Content-Type", "text/event-stream"), *self._echo_headers(environ)]
         start_response("200 OK", headers)
         try:
             with self._slots:
                 yield b": begins\n\n"
-                eventlet.sleep(self._time(self.spec.seconds))
-                yield from self._tokens(body)
+                eventlet.sleep(self._scale_seconds(self.spec.seconds))
+                yield from self._generate_events(body)
         finally:
             self.in_flight -= 1
 
-    def _tokens(self, body: Any) -> Iterator[bytes]:
+    def _generate_events(self, body: Any) -> Iterator[bytes]:
         request = body["request"]
         start = max(0, body["start"] - self.faults.repeat)
         for index in range(start, body["max_tokens"]):
@@ -241,13 +255,13 @@
             self.ledger.tokens_by_request[request] += len(text)
             event = {"request": request, "index": index, "text": text}
             yield b"data: " + msgspec.json.encode(event) + b"\n\n"
-            eventlet.sleep(self._time(self.spec.token_seconds))
+            eventlet.sleep(self._scale_seconds(self.spec.token_seconds))
         done = {"request": request, "index": body["max_tokens"], "done": True}
         yield b"data: " + msgspec.json.encode(done) + b"\n\n"
 
 
 def main(specs: list[TargetSpec]) -> None:
-    """Run some targets in this process until it is ended."""
-    announce(**{spec.id: serve(TargetApp(spec)) for spec in specs})
+    """Run some targets in this process until it is killed."""
+    announce_ports(**{spec.id: serve(TargetApp(spec)) for spec in specs})
     while True:
-        eventlet.sleep(_KEPT_SECONDS)
+        eventlet.sleep(_SLEEP_S)
--- a/packages/standins/bergamotsaddle_standins/traffic.py
+++ b/packages/standins/bergamotsaddle_standins/traffic.py
@@ -1,4 +1,4 @@
-"""Callers at work: plans, bookings and lookups through whichever daemon is ready."""
+"""Callers that request plans, bookings and lookups from any ready daemon."""
 
 import random
 from typing import Any, NamedTuple
@@ -12,23 +12,23 @@
 from bergamotsaddle_standins.fleet import PIPELINE, Fleet, get
 from bergamotsaddle_standins.targets import make_token
 
-_PROBE_PAUSE = 0.1
-_PAUSE = 0.05
-_MAX_ASKS = 12
-_CALLER_LIMIT = 8.0
+_PROBE_INTERVAL_S = 0.1
+_MEAN_PAUSE_S = 0.05
+_MAX_ATTEMPTS = 12
+_CALLER_TIMEOUT_S = 8.0
 _TOKENS = 12
 
 
 class Record(NamedTuple):
-    """How one request or booking ended for its caller.
+    """Outcome of one request or booking as its caller saw it.
 
     Attributes:
         kind: ``plan``, ``booking`` or ``stock``.
         outcome: ``whole``, ``refused``, ``cut``, ``unknown`` or ``failed``, the last
-            for a connection that broke or an answer that is not the caller's.
-        request: Id of the request, if the caller got one.
-        ran: What the caller was told.
-        at: Seconds on the hub's clock at the end.
+            for a broken connection or a response that belongs to another request.
+        request: Id of the request, empty if the caller received none.
+        ran: Whether the request ran, as reported to the caller.
+        at: Time of the outcome on the hub's clock.
     """
 
     kind: str
@@ -39,25 +39,26 @@
 
 
 class Booking(NamedTuple):
-    """One ticket's request of a booking.
+    """A booking submitted with one ticket.
 
     Attributes:
         booking: Number of the booking.
-        mark: Mark that the orders service notes.
-        told: ``booked``, ``not_run`` or ``unknown``.
+        mark: Mark that the orders service records.
+        reported: Outcome reported to the caller: ``booked``, ``not_run`` or
+            ``unknown``.
     """
 
     booking: int
     mark: str
-    told: str
+    reported: str
 
 
 class Traffic:
-    """Callers that go on until told to stop.
+    """Callers that send requests until stopped.
 
     Args:
-        fleet: Where they ask.
-        seed: Seed of their choices.
+        fleet: Deployment that gets the requests.
+        seed: Seed of the random choices.
     """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
@@ -71,77 +72,79 @@
         self.bookings: list[Booking] = []
 
     def start(self, *, plans: int = 6, bookings: int = 4, stock: int = 2) -> None:
-        """Start some callers of each kind and the balancer's probe."""
-        self._threads.append(eventlet.spawn(self._probe))
+        """Start callers of each kind and the readiness probe of their load balancer."""
+        self._threads.append(eventlet.spawn(self._probe_readiness))
         for work, count in (
-            (self._plan, plans),
+            (self._request_plan, plans),
             (self._book, bookings),
-            (self._stock, stock),
+            (self._look_up_stock, stock),
         ):
             for _ in range(count):
                 self._threads.append(eventlet.spawn(self._repeat, work))
 
     def stop(self) -> None:
-        """Let every caller finish what it is at."""
+        """Let every caller finish its current request and wait for it."""
         self._stopped = True
         for thread in self._threads:
             thread.wait()
 
     def count(self, kind: str, outcome: str) -> int:
-        """Number of requests of a kind that ended in a way."""
+        """Return the number of requests of a kind with an outcome."""
         return sum((r.kind, r.outcome) == (kind, outcome) for r in self.records)
 
     def _repeat(self, work: Any) -> None:
         while not self._stopped:
             work()
-            eventlet.sleep(self._random.uniform(0, 2 * _PAUSE))
+            eventlet.sleep(self._random.uniform(0, 2 * _MEAN_PAUSE_S))
 
-    def _probe(self) -> None:
+    def _probe_readiness(self) -> None:
         while not self._stopped:
             threads = {
                 name: eventlet.spawn(self._is_ready, name)
                 for name in list(self._fleet.daemons)
             }
             self._ready = [name for name, t in threads.items() if t.wait()]
-            eventlet.sleep(_PROBE_PAUSE)
+            eventlet.sleep(_PROBE_INTERVAL_S)
 
     def _is_ready(self, name: str) -> bool:
         try:
             with eventlet.Timeout(0.3):
-                return bool(get(self._fleet.callers(name), "/ready")["ready"])
+                return bool(get(self._fleet.caller_address(name), "/ready")["ready"])
         except (urllib3.exceptions.HTTPError, OSError, KeyError, eventlet.Timeout):
             return False
 
-    def _caller(self, team: str) -> Caller:
+    def _make_caller(self, team: str) -> Caller:
         ready = [name for name in self._ready if name in self._fleet.daemons]
         name = self._random.choice(ready or list(self._fleet.daemons))
         address = self._fleet.daemons[name].ports.get("callers", "127.0.0.1:1")
-        return Caller(address, self._fleet.keys[team], limit=_CALLER_LIMIT)
+        return Caller(address, self._fleet.keys[team], limit=_CALLER_TIMEOUT_S)
 
-    def _plan(self) -> None:
+    def _request_plan(self) -> None:
         body = {
             "input": f"plan {self._random.random()}",
             "stream": True,
             "max_tokens": _TOKENS,
         }
-        reply = self._caller("barge-crews").ask(f"/v1/pipelines/{PIPELINE}", body)
-        self._note("plan", reply, self._is_own_plan(reply, body["input"]))
+        reply = self._make_caller("barge-crews").post(f"/v1/pipelines/{PIPELINE}", body)
+        self._record_reply("plan", reply, self._is_own_plan(reply, body["input"]))
 
     def _is_own_plan(self, reply: Reply, question: str) -> bool:
-        """Tell whether tokens are those that any engine makes for this question."""
-        if not reply.whole:
+        """Return whether the tokens are those that engines generate for a question."""
+        if not reply.is_complete:
             return False
         prompt = f'{question}\n["rerank of {question}"]'
         expected = "".join(make_token(prompt, index) for index in range(_TOKENS))
         return reply.text == expected
 
-    def _stock(self) -> None:
+    def _look_up_stock(self) -> None:
         item = f"item {self._random.random()}"
-        reply = self._caller("skippers").ask("/v1/services/stock/x", {"item": item})
+        reply = self._make_caller("skippers").post(
+            "/v1/services/stock/x", {"item": item}
+        )
         own = reply.status == 200 and reply.body.get("item") == item
-        self._note("stock", reply, own)
+        self._record_reply("stock", reply, own)
 
-    def _note(self, kind: str, reply: Reply, is_own: bool) -> None:
+    def _record_reply(self, kind: str, reply: Reply, is_own: bool) -> None:
         body = reply.body if isinstance(reply.body, dict) else {}
         if is_own:
             outcome = "whole"
@@ -155,29 +158,29 @@
         self.records.append(Record(kind, outcome, request, ran, now()))
 
     def _book(self) -> None:
-        """Book one load, with a new ticket after each true "not run"."""
+        """Book one load, with a new ticket after each report of "not run"."""
         self._bookings_made += 1
         number = self._bookings_made
-        for attempt in range(_MAX_ASKS):
-            reply = self._caller("skippers").ask("/v1/tickets/orders")
+        for attempt in range(_MAX_ATTEMPTS):
+            reply = self._make_caller("skippers").post("/v1/tickets/orders")
             if reply.status != 200:
-                eventlet.sleep(_PAUSE)
+                eventlet.sleep(_MEAN_PAUSE_S)
                 continue
             mark = f"{number}.{attempt}"
-            told = self._run(reply.body["ticket"], mark)
-            self.bookings.append(Booking(number, mark, told))
-            outcome = {"booked": "whole", "unknown": "unknown"}.get(told, "refused")
-            if told != "not_run":
+            reported = self._submit_booking(reply.body["ticket"], mark)
+            self.bookings.append(Booking(number, mark, reported))
+            outcome = {"booked": "whole", "unknown": "unknown"}.get(reported, "refused")
+            if reported != "not_run":
                 break
         else:
             outcome = "refused"
         self.records.append(Record("booking", outcome, "", "", now()))
 
-    def _run(self, ticket: str, mark: str) -> str:
-        """Ask with one ticket, through different daemons, until told for good."""
-        told = "unknown"
-        for _ in range(_MAX_ASKS):
-            reply = self._caller("skippers").ask(
+    def _submit_booking(self, ticket: str, mark: str) -> str:
+        """Submit one ticket through different daemons until its outcome is final."""
+        reported = "unknown"
+        for _ in range(_MAX_ATTEMPTS):
+            reply = self._make_caller("skippers").post(
                 "/v1/services/orders/book",
                 {"mark": mark},
                 headers={"X-Ticket": ticket, "X-Deadline": "3s"},
@@ -187,25 +190,25 @@
                 return "booked"
             if body.get("kind") == "not_run":
                 return "not_run"
-            eventlet.sleep(_PAUSE)
-        return told
+            eventlet.sleep(_MEAN_PAUSE_S)
+        return reported
 
 
 class Audit(NamedTuple):
-    """What callers were told, held against what targets did.
+    """Comparison of what callers were told with what targets did.
 
     Attributes:
-        requests: Requests and bookings that ended.
-        whole: Answered whole.
-        refused: Refused or of unknown outcome.
-        cut: Answers that said they were cut off, and connections that broke.
+        requests: Finished requests and bookings.
+        complete: Requests with a complete response.
+        refused: Requests that were refused or have an unknown outcome.
+        cut: Responses that were marked as cut off, and broken connections.
         doubled: Bookings that ran more than once.
         lost: Bookings that were confirmed and did not run.
-        false_not_run: Requests told "not run" that reached a target.
+        false_not_run: Requests that reached a target but were reported as not run.
     """
 
     requests: int
-    whole: int
+    complete: int
     refused: int
     cut: int
     doubled: int
@@ -214,8 +217,8 @@
 
 
 def audit(fleet: Fleet, traffic: Traffic) -> Audit:
-    """Compare what callers were told with the targets' own ledgers."""
-    ledgers = [fleet.ledger(target) for target in fleet.target_ports]
+    """Compare the outcomes reported to callers with the ledgers of the targets."""
+    ledgers = [fleet.read_ledger(target) for target in fleet.target_ports]
     marks = [mark for ledger in ledgers for mark in ledger["marks"]]
     ran = {request for ledger in ledgers for request in ledger["runs_by_request"]}
     runs_by_booking: dict[str, int] = {}
@@ -223,15 +226,21 @@
         booking = mark.partition(".")[0]
         runs_by_booking[booking] = runs_by_booking.get(booking, 0) + 1
     records = traffic.records
-    false = sum(b.told == "not_run" and b.mark in marks for b in traffic.bookings)
-    false += sum(r.ran == "no" and r.request in ran for r in records if r.request)
+    false_not_run = sum(
+        b.reported == "not_run" and b.mark in marks for b in traffic.bookings
+    )
+    false_not_run += sum(
+        r.ran == "no" and r.request in ran for r in records if r.request
+    )
     outcomes = [record.outcome for record in records]
     return Audit(
         requests=len(records),
-        whole=outcomes.count("whole"),
+        complete=outcomes.count("whole"),
         refused=outcomes.count("refused") + outcomes.count("unknown"),
         cut=outcomes.count("cut") + outcomes.count("failed"),
         doubled=sum(count > 1 for count in runs_by_booking.values()),
-        lost=sum(b.told == "booked" and b.mark not in marks for b in traffic.bookings),
-        false_not_run=false,
+        lost=sum(
+            b.reported == "booked" and b.mark not in marks for b in traffic.bookings
+        ),
+        false_not_run=false_not_run,
     )
--- a/packages/standins/bergamotsaddle_standins/virtual_fleet.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Many instances before the same engines, in one process on a virtual clock."""
+"""Many instances that share engines, in one process on a virtual clock."""
 
 from collections.abc import Callable
 from itertools import count
@@ -68,15 +68,15 @@
 
 
 class VirtualCaller:
-    """A caller with one request.
+    """A caller's connection with one request.
 
     Args:
         request: The request.
 
     Attributes:
-        status: What it was answered, 0 so far.
-        headers: Headers of the answer.
-        is_whole: Whether the answer came whole.
+        status: Status of the response, or 0 before it.
+        headers: Headers of the response.
+        is_complete: Whether the response was received to its end.
     """
 
     def __init__(self, request: RawRequest) -> None:
@@ -88,49 +88,49 @@
         self.has_started = False
 
     def read(self) -> RawRequest | None:
-        """Give the request, then none."""
+        """Return the request, then None."""
         return self._requests.pop() if self._requests else None
 
     def run_while_connected(self, work: Callable[[], None]) -> None:
-        """Do the work."""
+        """Run a function on a connection that is never lost."""
         work()
 
     def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Take a whole answer."""
+        """Receive a complete response."""
         self.start(status, headers)
         self.finish()
 
     def start(self, status: int, headers: RawHeaders) -> None:
-        """Take the head of an answer."""
+        """Receive the head of a response."""
         self.has_started = True
         self.status = status
         self.headers = headers
 
     def send(self, data: bytes) -> None:
-        """Take a part of it."""
+        """Discard a part of the response body."""
 
     def finish(self) -> None:
-        """Take its end."""
+        """Receive the end of the response."""
         self.is_complete = True
 
     def prepare_next(self) -> bool:
-        """Ask for nothing more."""
+        """Return False, as there is no further request."""
         return False
 
     def reset(self) -> None:
-        """Be cut off."""
+        """Accept a reset of the connection."""
 
     def close(self) -> None:
-        """Be closed."""
+        """Accept the end of the connection."""
 
 
 class VirtualInstance:
-    """One instance's serving core.
+    """The serving core of one instance.
 
     Args:
-        peers: The other instances.
-        targets: The engines.
-        dialect: Decodes what they say.
+        peers: Peers of this instance.
+        targets: All engines.
+        dialect: Encodes and decodes the messages of the engines.
     """
 
     def __init__(
@@ -140,8 +140,8 @@
         self.view = View(dialect, SILENT_LOGGER)
         self.view.has_snapshot = True
         gossip = Gossip()
-        tell = GossipExchange(gossip, peers).publish
-        self.limits = NamedLimits(gossip, tell, SILENT_LOGGER)
+        publish = GossipExchange(gossip, peers).publish
+        self.limits = NamedLimits(gossip, publish, SILENT_LOGGER)
         self.health = Health(self.limits.record)
         peers.own_running = self.health.running
         pool = VirtualPool(targets, peers.own.id)
@@ -152,13 +152,13 @@
         cold = ColdRateLimiter(peers.size)
         selector = Selector(self.view, self.health, peers, cold, reach, rates)
         self.suspects = Suspects(
-            gossip, tell, self.view.software_versions, SILENT_LOGGER
+            gossip, publish, self.view.software_versions, SILENT_LOGGER
         )
         crashes = TargetCrashes(pool, self.view, self.suspects)
         plain = PlainServer(
             selector, pool, budget, dialect, SILENT_LOGGER, crashes=crashes
         )
-        # Its routes have no stages.
+        # The only route has no stages.
         waits = SimpleNamespace(best_scope=None)
         streams = StreamServer(
             selector, waits, None, pool, budget, dialect, SILENT_LOGGER, crashes=crashes
@@ -176,12 +176,12 @@
 
 
 class VirtualFleet:
-    """A fleet before its engines.
+    """A fleet of instances and its engines.
 
     Args:
         size: Number of instances.
         targets: Number of engines.
-        back_after: Seconds after its end from which an engine is there again.
+        restart_after: Seconds from the crash of an engine until it is up again.
     """
 
     def __init__(self, size: int, *, targets: int, restart_after: float = 3.0) -> None:
@@ -213,7 +213,7 @@
         """Send a request to an instance.
 
         Returns:
-            The caller, who has an answer later.
+            The caller, which gets its response later.
         """
         headers = [(b"id", f"r{next(self._ids)}".encode())]
         caller = VirtualCaller(RawRequest(b"POST", path, headers, body, now()))
--- a/packages/standins/bergamotsaddle_standins/virtual_targets.py
+++ b/packages/standins/bergamotsaddle_standins/virtual_targets.py
@@ -1,4 +1,4 @@
-"""Engines in one process, on the clock of the hub: they end, come back and are slow."""
+"""Simulated engines that crash and restart, in one process on the hub's clock."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -23,13 +23,13 @@
 HOST = "h"
 _PORT = 9
 _SLOTS = 64
-_TRIP_S = 0.002
+_LATENCY_S = 0.002
 _FIRST_EVENT_S = 0.05
 _STREAM_S = 0.5
-# How long a target runs a request before it ends under it.
-_FATAL_S = 0.1
-# The list of targets tells of an end and of a start so much later.
-_LAPSE_S = 1.1
+# How long a target runs a fatal request before it crashes.
+_CRASH_AFTER_S = 0.1
+# Seconds from a crash until the list of targets drops the target.
+_REGISTRATION_LAG_S = 1.1
 _OK = 200
 _MISDIRECTED = 421
 _DEADLINE_S = 8.0
@@ -37,7 +37,13 @@
 
 
 class Arrival(NamedTuple):
-    """A request that reached a target."""
+    """A request that reached a target.
+
+    Attributes:
+        at: Time of the arrival on the hub's clock.
+        instance: Id of the instance that sent the request.
+        path: Path of the request.
+    """
 
     at: float
     instance: str
@@ -45,15 +51,18 @@
 
 
 class VirtualTarget:
-    """One address and the target that lives there.
+    """One address and the target that runs there.
 
     Args:
-        number: Its number, which names its address.
-        zone: Its availability zone.
+        number: Number from which the address and id are derived.
+        zone: Availability zone of the target.
 
     Attributes:
-        limit: Requests a second that its answers name, None for none.
-        arrivals: Requests that reached this address so far.
+        incarnation: Number of the current run of the target, from 1.
+        is_up: Whether the target runs.
+        limit: Requests per second that its responses announce as its limit, or None.
+        arrivals: Requests that reached this address so far, in any incarnation.
+        runs: Connections on which a request runs.
     """
 
     def __init__(self, number: int, zone: str) -> None:
@@ -68,55 +77,55 @@
 
     @property
     def id(self) -> str:
-        """Its name in this life."""
+        """Id of the target in its current incarnation."""
         return f"t{self._number}-{self.incarnation}"
 
     def entry(self) -> Target:
-        """What it registers."""
+        """Return the entry that the target registers."""
         return Target(self.id, SERVICE, self.address, self.zone, _SLOTS)
 
 
 class VirtualDialect:
-    """Decodes what the stand-ins say; entries are objects that need no decoding."""
+    """Dialect of the simulated engines; store entries stand for Python objects."""
 
     def __init__(self) -> None:
         self.objects_by_key: dict[str, object] = {}
 
     def read_head(self, method: bytes, path: bytes, headers: RawHeaders) -> RequestHead:
-        """Decode a caller's request."""
+        """Decode the head of a caller's request."""
         request_id = dict(headers)[b"id"].decode()
         return RequestHead(request_id, method, path, HOST, "", _DEADLINE_S)
 
     def forward(self, head: RequestHead, dispatch: Dispatch, size: int) -> RawHeaders:
-        """Headers of the request as a target gets it."""
+        """Return the headers of a request that is forwarded to a target."""
         return [
             (b"id", head.id.encode()),
             (b"target", dispatch.target.id.encode()),
         ]
 
     def read_response(self, headers: RawHeaders) -> ResponseHead:
-        """Decode the headers of an answer."""
+        """Decode the head of a response."""
         by_name = dict(headers)
         request_id = by_name[b"id"].decode()
         limit = float(by_name[b"limit"]) if b"limit" in by_name else None
         return ResponseHead(request_id, True, False, None, None, False, limit)
 
     def target_id(self, key: str) -> str | None:
-        """Id of the target that an entry tells of."""
+        """Return the id of the target that an entry describes."""
         return key
 
     def decode(self, entry: StoreEntry) -> object | None:
-        """Look an entry up."""
+        """Return the object that an entry stands for, or None if it was deleted."""
         return None if entry.value is None else self.objects_by_key[entry.key]
 
 
 class VirtualConnection:
-    """A connection of one instance to one target.
+    """A connection from one instance to one target.
 
     Args:
         targets: All targets.
-        target: The one that it leads to.
-        instance: Whose it is.
+        target: Target at the other end.
+        instance: Id of the instance.
     """
 
     def __init__(
@@ -125,19 +134,19 @@
         self._targets = targets
         self._target = target
         self._instance = instance
-        self._broken = Event()
+        self._closed_by_target = Event()
         self._headers: dict[bytes, bytes] = {}
-        self._began_at = 0.0
+        self._started_at = 0.0
         self._first_seconds = _FIRST_EVENT_S
-        self._left = list(_EVENTS)
+        self._remaining_events = list(_EVENTS)
 
     def send(self, call: HttpCall, *, limit: float) -> int:
-        """Send a request, which begins to run."""
+        """Send a request, which starts to run if it names the current incarnation."""
         self._headers = dict(call.headers)
-        self._began_at = now()
+        self._started_at = now()
         if call.path in self._targets.fatal_paths:
-            # Its target ends before the first event.
-            self._first_seconds = 2.0 * _FATAL_S
+            # The target crashes before the first event.
+            self._first_seconds = 2.0 * _CRASH_AFTER_S
         arrival = Arrival(now(), self._instance, call.path)
         self._target.arrivals.append(arrival)
         if self._headers[b"target"].decode() == self._target.id:
@@ -146,54 +155,62 @@
         return 0
 
     def read_head(self, *, limit: float) -> RawResponseHead:
-        """Wait for the first event."""
+        """Wait for the first event and return the response head.
+
+        Raises:
+            ConnectionLostError: If the target crashes or the limit passes before.
+        """
         is_misdirected = self._headers[b"target"].decode() != self._target.id
         if is_misdirected:
             return RawResponseHead(_MISDIRECTED, [*self._headers.items()])
-        self._wait(self._began_at + self._first_seconds, limit)
+        self._wait(self._started_at + self._first_seconds, limit)
         headers = [(b"id", self._headers[b"id"])]
         if self._target.limit is not None:
             headers.append((b"limit", str(self._target.limit).encode()))
         return RawResponseHead(_OK, headers)
 
     def read_some(self, *, limit: float) -> bytes | None:
-        """Give the next event, None at the end."""
-        if len(self._left) < len(_EVENTS):
-            self._wait(self._began_at + _STREAM_S, limit)
-        if not self._left:
+        """Return the next event, or None at the end.
+
+        Raises:
+            ConnectionLostError: If the target crashes or the limit passes before.
+        """
+        if len(self._remaining_events) < len(_EVENTS):
+            self._wait(self._started_at + _STREAM_S, limit)
+        if not self._remaining_events:
             self._target.runs.discard(self)
             return None
-        return self._left.pop(0)
+        return self._remaining_events.pop(0)
 
     def read_body(self, *, limit: float, max_bytes: int) -> bytes:
-        """Give no body, as a refusal has none."""
+        """Return an empty body, as error responses have none."""
         return b""
 
     def disconnect(self) -> None:
-        """End it from the target's side."""
-        if not self._broken.ready():
-            self._broken.send()
+        """Close the connection from the target's side."""
+        if not self._closed_by_target.ready():
+            self._closed_by_target.send()
 
     def close(self) -> None:
-        """End it from the caller's side."""
+        """Close the connection from the instance's side."""
         self._target.runs.discard(self)
 
     def _wait(self, until: float, limit: float) -> None:
         pause = max(0.0, min(until - now(), limit))
         with eventlet.Timeout(pause, False):
-            self._broken.wait()
-        if self._broken.ready():
+            self._closed_by_target.wait()
+        if self._closed_by_target.ready():
             raise ConnectionLostError("closed")
         if until > now():
             raise ConnectionLostError("silent")
 
 
 class VirtualPool:
-    """Connections of one instance.
+    """Connection pool of one instance.
 
     Args:
         targets: All targets.
-        instance: Whose they are.
+        instance: Id of the instance.
     """
 
     def __init__(self, targets: "VirtualTargets", instance: str) -> None:
@@ -201,36 +218,41 @@
         self._instance = instance
 
     def acquire(self, address: Address, *, limit: float = 1.0) -> VirtualConnection:
-        """Make a connection.
+        """Open a connection to an address.
 
         Raises:
-            ConnectionLostError: If nobody listens there.
+            ConnectionLostError: If no target is up at the address.
         """
-        eventlet.sleep(_TRIP_S)
+        eventlet.sleep(_LATENCY_S)
         target = self._targets.by_address[address]
         if not target.is_up:
             raise ConnectionLostError("refused", is_unsent=True)
         return VirtualConnection(self._targets, target, self._instance)
 
     def is_refused(self, address: Address) -> bool:
-        """Tell whether nobody listens at an address."""
-        eventlet.sleep(_TRIP_S)
+        """Return whether an address refuses connections."""
+        eventlet.sleep(_LATENCY_S)
         return not self._targets.by_address[address].is_up
 
     def release(
         self, connection: VirtualConnection, keep_alive_seconds: float | None
     ) -> None:
-        """Take back a connection; none is kept."""
+        """Discard a connection; none is kept alive."""
 
 
 class VirtualTargets:
     """All targets of one service.
 
     Args:
-        count: How many there are.
-        zones: Where they are, in turn.
-        back_after: Seconds after its end from which a target is there again.
-        publish: Called with the entry of each target that registers or lapses.
+        count: Number of targets.
+        zones: Availability zones, assigned to the targets in turn.
+        restart_after: Seconds from the crash of a target until it is up again.
+        publish: Called with the id and entry of each target that registers, and with
+            None instead of the entry when a registration lapses.
+
+    Attributes:
+        fatal_paths: Paths of the requests that crash a target.
+        crash_count: Number of crashes so far.
     """
 
     def __init__(
@@ -254,12 +276,12 @@
         return iter(self.by_address.values())
 
     def start_request(self, target: VirtualTarget, path: bytes) -> None:
-        """Begin to run a request, under which the target may end."""
+        """Run a request and schedule the crash of its target if the path is fatal."""
         if path in self.fatal_paths:
-            eventlet.spawn_after(_FATAL_S, self.crash, target, target.incarnation)
+            eventlet.spawn_after(_CRASH_AFTER_S, self.crash, target, target.incarnation)
 
     def crash(self, target: VirtualTarget, incarnation: int) -> None:
-        """End a life of a target with all that it runs."""
+        """Crash an incarnation of a target and disconnect all requests it runs."""
         if not target.is_up or target.incarnation != incarnation:
             return
         self.crash_count += 1
@@ -267,7 +289,7 @@
         for connection in list(target.runs):
             connection.disconnect()
         target.runs.clear()
-        eventlet.spawn_after(_LAPSE_S, self._publish, target.id, None)
+        eventlet.spawn_after(_REGISTRATION_LAG_S, self._publish, target.id, None)
         eventlet.spawn_after(self._restart_after, self._start, target)
 
     def _start(self, target: VirtualTarget) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -131,7 +131,7 @@
         self.start(size)
         advance(2.0)
         for peers in self.fleet:
-            peers._carry = make_lossy(peers._carry, 0.1)
+            peers._transmit = make_lossy(peers._transmit, 0.1)
         for number in range(12):
             self.observe(number % size, f"k{number}")
             advance(0.5)
