--- a/packages/standins/bergamotsaddle_standins/capacity.py
+++ b/packages/standins/bergamotsaddle_standins/capacity.py
@@ -117,10 +117,10 @@
     for targets, teams in ((100, 100), (1000, 100), (4700, 100), (100, 2200)):
         text = make_declaration(targets, teams, 27)
         seconds = measure_processor_seconds(lambda text=text: parse_declaration(text))
-        whole, kept = measure_memory(lambda text=text: parse_declaration(text))
+        parsed, kept = measure_memory(lambda text=text: parse_declaration(text))
         other = text.replace("revision = 1", "revision = 2", 1)
         change = measure_processor_seconds(
-            lambda other=other, whole=whole: parse_declaration(other, previous=whole)
+            lambda other=other, parsed=parsed: parse_declaration(other, previous=parsed)
         )
         row = (len(text) / 1024, seconds * 1000, change * 1000, kept / 1024)
         print_row("", targets, teams, *(f"{value:.0f}" for value in row))
--- a/packages/standins/bergamotsaddle_standins/client.py
+++ b/packages/standins/bergamotsaddle_standins/client.py
@@ -74,16 +74,16 @@
 def _read_stream(status: int, data: bytes) -> Reply:
     texts: list[str] = []
     last: Any = {}
-    ended = False
+    has_ended = False
     for event in data.split(_EVENT_END):
         if event.startswith(b"event: "):
             name, _, payload = event.partition(b"\ndata: ")
             last = msgspec.json.decode(payload)
-            ended = name == b"event: end"
+            has_ended = name == b"event: end"
         elif event.startswith(b"data: "):
             token = msgspec.json.decode(event[len(b"data: ") :])
             if token["index"] != len(texts):
                 return Reply(status, {"kind": "gap"}, "".join(texts), len(texts))
             texts.append(token["text"])
-    whole = ended and last.get("tokens") == len(texts)
-    return Reply(status, last, "".join(texts), len(texts), whole)
+    is_complete = has_ended and last.get("tokens") == len(texts)
+    return Reply(status, last, "".join(texts), len(texts), is_complete)
